--- a/src/actors/job_acceptor.cc
+++ b/src/api/job_admission.cc
@@ -1,4 +1,4 @@
-#include "actors/job_acceptor.h"
+#include "api/job_admission.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/actors/job_acceptor.h
+++ b/src/api/job_admission.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "actors/state_store_client.h"
+#include "state_store/state_store_client.h"
 
 namespace eiderreel {
 
--- a/src/actors/job_api.cc
+++ b/src/api/job_api.cc
@@ -1,4 +1,4 @@
-#include "actors/job_api.h"
+#include "api/job_api.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/actors/job_api.h
+++ b/src/api/job_api.h
@@ -3,10 +3,10 @@
 #include <map>
 #include <string>
 
-#include "actors/job_acceptor.h"
-#include "actors/metrics.h"
-#include "actors/owner.h"
-#include "actors/state_store_client.h"
+#include "api/job_admission.h"
+#include "controller/metrics.h"
+#include "leadership/partition_leader.h"
+#include "state_store/state_store_client.h"
 
 namespace eiderreel {
 
--- a/src/cli/http_call.h
+++ b/src/cli/http_call.h
@@ -2,8 +2,8 @@
 #pragma once
 #include <string>
 
-#include "actors/runtime.h"
 #include "constants.h"
+#include "runtime/runtime.h"
 
 namespace eiderreel::cli {
 
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -7,11 +7,11 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "actors/controller.h"
-#include "actors/settings.h"
 #include "cli/status.h"
 #include "cli/upgrade_commands.h"
-#include "net/loop.h"
+#include "config/settings.h"
+#include "controller/controller.h"
+#include "net/event_loop.h"
 
 namespace {
 
--- a/src/cli/upgrade.cc
+++ b/src/cli/upgrade.cc
@@ -10,8 +10,8 @@
 
 #include "cli/http_call.h"
 #include "cli/upgrade_print.h"
-#include "codec/upgrade_json.h"
 #include "constants.h"
+#include "upgrade/upgrade_json.h"
 
 namespace eiderreel::cli {
 namespace {
--- a/src/actors/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -1,4 +1,4 @@
-#include "actors/cloud_client.h"
+#include "cloud/cloud_client.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/actors/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -3,8 +3,8 @@
 #include <functional>
 #include <map>
 
-#include "actors/runtime.h"
-#include "actors/settings.h"
+#include "config/settings.h"
+#include "runtime/runtime.h"
 
 namespace eiderreel {
 
--- a/src/codec/json.h
+++ b/src/codec/json.h
@@ -6,8 +6,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/types.h"
-#include "upgrade/cluster_version.h"
+#include "model/types.h"
+#include "versioning/cluster_version.h"
 
 namespace eiderreel::codec {
 
--- a/src/codec/json_fields.h
+++ b/src/codec/json_fields.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "model/types.h"
 
 namespace eiderreel::codec::fields {
 
--- a/src/actors/settings.cc
+++ b/src/config/settings.cc
@@ -1,8 +1,8 @@
-#include "actors/settings.h"
+#include "config/settings.h"
 
 #include <limits>
 
-#include "actors/toml_reader.h"
+#include "config/toml_reader.h"
 
 namespace eiderreel {
 namespace {
--- a/src/actors/settings.h
+++ b/src/config/settings.h
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
-#include "upgrade/upgrade_settings.h"
+#include "config/upgrade_settings.h"
+#include "model/types.h"
 
 namespace eiderreel {
 
--- a/src/upgrade/upgrade_settings.cc
+++ b/src/config/upgrade_settings.cc
@@ -1,8 +1,8 @@
-#include "upgrade/upgrade_settings.h"
+#include "config/upgrade_settings.h"
 
 #include <optional>
 
-#include "actors/toml_reader.h"
+#include "config/toml_reader.h"
 
 namespace eiderreel::upgrade {
 namespace {
--- a/src/upgrade/upgrade_settings.h
+++ b/src/config/upgrade_settings.h
@@ -3,8 +3,8 @@
 #include <string>
 #include <vector>
 
-#include "upgrade/cluster_version.h"
-#include "upgrade/maintenance_window.h"
+#include "versioning/cluster_version.h"
+#include "versioning/maintenance_window.h"
 
 namespace eiderreel::upgrade {
 
--- a/src/actors/controller.cc
+++ b/src/controller/controller.cc
@@ -1,8 +1,8 @@
-#include "actors/controller.h"
+#include "controller/controller.h"
 
 #include <spdlog/spdlog.h>
 
-#include "actors/metrics.h"
+#include "controller/metrics.h"
 #include "upgrade/http_routes.h"
 
 namespace eiderreel {
--- a/src/actors/controller.h
+++ b/src/controller/controller.h
@@ -2,10 +2,10 @@
 #pragma once
 #include <string>
 
-#include "actors/fleet.h"
-#include "actors/job_api.h"
-#include "actors/owner.h"
-#include "actors/state_store_client.h"
+#include "api/job_api.h"
+#include "fleet/fleet_manager.h"
+#include "leadership/partition_leader.h"
+#include "state_store/state_store_client.h"
 #include "upgrade/coordinator.h"
 
 namespace eiderreel {
--- a/src/actors/metrics.cc
+++ b/src/controller/metrics.cc
@@ -1,4 +1,4 @@
-#include "actors/metrics.h"
+#include "controller/metrics.h"
 
 #include <fmt/format.h>
 #include <rapidjson/stringbuffer.h>
@@ -8,7 +8,7 @@
 #include <cstdio>
 #include <map>
 
-#include "actors/controller.h"
+#include "controller/controller.h"
 
 namespace eiderreel {
 namespace {
--- a/src/actors/fleet.cc
+++ b/src/fleet/fleet_manager.cc
@@ -1,4 +1,4 @@
-#include "actors/fleet.h"
+#include "fleet/fleet_manager.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/actors/fleet.h
+++ b/src/fleet/fleet_manager.h
@@ -5,11 +5,11 @@
 #include <set>
 #include <string>
 
-#include "actors/cloud_client.h"
-#include "actors/machine_assigner.h"
-#include "actors/machine_rental.h"
-#include "actors/owner.h"
-#include "actors/state_store_client.h"
+#include "cloud/cloud_client.h"
+#include "fleet/machine_assigner.h"
+#include "fleet/machine_provisioner.h"
+#include "leadership/partition_leader.h"
+#include "state_store/state_store_client.h"
 
 namespace eiderreel {
 
--- a/src/actors/machine_assigner.cc
+++ b/src/fleet/machine_assigner.cc
@@ -1,4 +1,4 @@
-#include "actors/machine_assigner.h"
+#include "fleet/machine_assigner.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/actors/machine_assigner.h
+++ b/src/fleet/machine_assigner.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "actors/owner.h"
-#include "actors/state_store_client.h"
+#include "leadership/partition_leader.h"
+#include "state_store/state_store_client.h"
 
 namespace eiderreel {
 
--- a/src/actors/machine_rental.cc
+++ b/src/fleet/machine_provisioner.cc
@@ -1,4 +1,4 @@
-#include "actors/machine_rental.h"
+#include "fleet/machine_provisioner.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/actors/machine_rental.h
+++ b/src/fleet/machine_provisioner.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "actors/cloud_client.h"
-#include "actors/state_store_client.h"
+#include "cloud/cloud_client.h"
+#include "state_store/state_store_client.h"
 
 namespace eiderreel {
 
--- a/src/upgrade/conversion_pace.cc
+++ b/src/leadership/conversion_pace.cc
@@ -1,4 +1,4 @@
-#include "upgrade/conversion_pace.h"
+#include "leadership/conversion_pace.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/actors/owner_persistence.cc
+++ b/src/leadership/job_persistence.cc
@@ -2,7 +2,7 @@
 // no more use.
 #include <spdlog/spdlog.h>
 
-#include "actors/owner.h"
+#include "leadership/partition_leader.h"
 
 namespace eiderreel {
 
--- a/src/actors/owner_parts.cc
+++ b/src/leadership/partition_claims.cc
@@ -2,7 +2,7 @@
 // the machines of a part stands in owner.cc, what it does with its jobs in owner_jobs.cc.
 #include <spdlog/spdlog.h>
 
-#include "actors/owner.h"
+#include "leadership/partition_leader.h"
 
 namespace eiderreel {
 
--- a/src/actors/owner_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -2,7 +2,7 @@
 // of them stands in owner_persistence.cc.
 #include <spdlog/spdlog.h>
 
-#include "actors/owner.h"
+#include "leadership/partition_leader.h"
 
 namespace eiderreel {
 
--- a/src/actors/owner.cc
+++ b/src/leadership/partition_leader.cc
@@ -1,4 +1,4 @@
-#include "actors/owner.h"
+#include "leadership/partition_leader.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/actors/owner.h
+++ b/src/leadership/partition_leader.h
@@ -6,11 +6,11 @@
 #include <set>
 #include <string>
 
-#include "actors/state_store_client.h"
-#include "codec/mesh.h"
-#include "core/part.h"
-#include "upgrade/conversion_pace.h"
-#include "upgrade/progress_plan.h"
+#include "leadership/conversion_pace.h"
+#include "leadership/progress_plan.h"
+#include "peer_rpc/messages.h"
+#include "scheduler/partition_scheduler.h"
+#include "state_store/state_store_client.h"
 
 namespace eiderreel {
 
--- a/src/upgrade/progress_plan.cc
+++ b/src/leadership/progress_plan.cc
@@ -1,4 +1,4 @@
-#include "upgrade/progress_plan.h"
+#include "leadership/progress_plan.h"
 
 #include <algorithm>
 #include <optional>
--- a/src/upgrade/progress_plan.h
+++ b/src/leadership/progress_plan.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "codec/json.h"
-#include "upgrade/cluster_version.h"
+#include "versioning/cluster_version.h"
 
 namespace eiderreel::upgrade {
 
--- a/src/net/loop.cc
+++ b/src/net/event_loop.cc
@@ -1,4 +1,4 @@
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
@@ -13,7 +13,7 @@
 #include <random>
 
 #include "net/http_reply.h"
-#include "net/mesh_link.h"
+#include "net/peer_links.h"
 
 namespace eiderreel::net {
 
--- a/src/net/loop.h
+++ b/src/net/event_loop.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "actors/runtime.h"
-#include "actors/settings.h"
+#include "config/settings.h"
 #include "net/http_client.h"
+#include "runtime/runtime.h"
 
 struct evhttp;
 struct evhttp_request;
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "actors/runtime.h"
+#include "runtime/runtime.h"
 
 struct evhttp_connection;
 struct evhttp_request;
--- a/src/net/mesh_link.cc
+++ b/src/net/peer_links.cc
@@ -1,4 +1,4 @@
-#include "net/mesh_link.h"
+#include "net/peer_links.h"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
@@ -8,7 +8,7 @@
 #include <array>
 #include <cstring>
 
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace eiderreel::net {
 
--- a/src/net/mesh_link.h
+++ b/src/net/peer_links.h
@@ -9,7 +9,7 @@
 #include <set>
 #include <string>
 
-#include "actors/settings.h"
+#include "config/settings.h"
 
 struct evconnlistener;
 struct bufferevent;
--- a/src/codec/mesh.cc
+++ b/src/peer_rpc/messages.cc
@@ -1,4 +1,4 @@
-#include "codec/mesh.h"
+#include "peer_rpc/messages.h"
 
 #include <capnp/message.h>
 #include <capnp/serialize.h>
@@ -6,7 +6,7 @@
 
 #include <cstring>
 
-#include "mesh.capnp.h"
+#include "peer_messages.capnp.h"
 
 namespace eiderreel::mesh {
 namespace {
--- a/src/codec/mesh.h
+++ b/src/peer_rpc/messages.h
@@ -5,7 +5,7 @@
 #include <variant>
 #include <vector>
 
-#include "core/part.h"
+#include "scheduler/partition_scheduler.h"
 
 namespace eiderreel::mesh {
 
--- a/src/core/dependency_graph.cc
+++ b/src/scheduler/dependency_graph.cc
@@ -1,4 +1,4 @@
-#include "core/dependency_graph.h"
+#include "scheduler/dependency_graph.h"
 
 #include <utility>
 
--- a/src/core/dependency_graph.h
+++ b/src/scheduler/dependency_graph.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "model/types.h"
 
 namespace eiderreel {
 
--- a/src/core/reports.cc
+++ b/src/scheduler/heartbeat_reconciliation.cc
@@ -1,5 +1,5 @@
 // Reports: what a machine's report proves of the tasks on it, and what its answer has to carry.
-#include "core/part.h"
+#include "scheduler/partition_scheduler.h"
 
 namespace eiderreel {
 
--- a/src/core/queue.cc
+++ b/src/scheduler/job_queue.cc
@@ -1,7 +1,7 @@
 // The queue of a part: in which order its jobs are served, and which of them wait.
 #include <cmath>
 
-#include "core/part.h"
+#include "scheduler/partition_scheduler.h"
 
 namespace eiderreel {
 namespace {
--- a/src/core/part.cc
+++ b/src/scheduler/partition_scheduler.cc
@@ -1,4 +1,4 @@
-#include "core/part.h"
+#include "scheduler/partition_scheduler.h"
 
 namespace eiderreel {
 Part::Part(int index, std::uint64_t term, Ms claimed_at, PartLimits limits, std::vector<Team> teams)
--- a/src/core/part.h
+++ b/src/scheduler/partition_scheduler.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/types.h"
+#include "model/types.h"
 
 namespace eiderreel {
 
--- a/src/core/placement.cc
+++ b/src/scheduler/placement.cc
@@ -2,7 +2,7 @@
 // of the others it knows sums.
 #include <cmath>
 
-#include "core/part.h"
+#include "scheduler/partition_scheduler.h"
 
 namespace eiderreel {
 namespace {
--- a/src/actors/rate_limiter.cc
+++ b/src/state_store/rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "actors/rate_limiter.h"
+#include "state_store/rate_limiter.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/actors/rate_limiter.h
+++ b/src/state_store/rate_limiter.h
@@ -4,9 +4,9 @@
 #include <map>
 #include <string>
 
-#include "actors/settings.h"
+#include "config/settings.h"
 #include "constants.h"
-#include "core/types.h"
+#include "model/types.h"
 
 namespace eiderreel {
 
--- a/src/actors/state_store_reads.cc
+++ b/src/state_store/reads.cc
@@ -3,7 +3,7 @@
 #include <memory>
 #include <utility>
 
-#include "actors/state_store_client.h"
+#include "state_store/state_store_client.h"
 
 namespace eiderreel {
 
--- a/src/actors/replicated_view.cc
+++ b/src/state_store/replicated_view.cc
@@ -1,4 +1,4 @@
-#include "actors/replicated_view.h"
+#include "state_store/replicated_view.h"
 
 #include <cstdlib>
 #include <utility>
--- a/src/actors/replicated_view.h
+++ b/src/state_store/replicated_view.h
@@ -12,10 +12,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "actors/runtime.h"
 #include "codec/json.h"
-#include "core/dependency_graph.h"
-#include "upgrade/acting_version.h"
+#include "runtime/runtime.h"
+#include "scheduler/dependency_graph.h"
+#include "versioning/acting_version.h"
 
 namespace eiderreel {
 
--- a/src/actors/state_store_client.cc
+++ b/src/state_store/state_store_client.cc
@@ -1,4 +1,4 @@
-#include "actors/state_store_client.h"
+#include "state_store/state_store_client.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/actors/state_store_client.h
+++ b/src/state_store/state_store_client.h
@@ -8,11 +8,11 @@
 #include <set>
 #include <string>
 
-#include "actors/rate_limiter.h"
-#include "actors/replicated_view.h"
-#include "actors/runtime.h"
-#include "actors/settings.h"
 #include "codec/json.h"
+#include "config/settings.h"
+#include "runtime/runtime.h"
+#include "state_store/rate_limiter.h"
+#include "state_store/replicated_view.h"
 
 namespace eiderreel {
 
--- a/src/upgrade/coordinator.cc
+++ b/src/upgrade/coordinator.cc
@@ -6,7 +6,7 @@
 #include <set>
 #include <utility>
 
-#include "codec/upgrade_json.h"
+#include "upgrade/upgrade_json.h"
 
 namespace eiderreel::upgrade {
 
--- a/src/upgrade/coordinator.h
+++ b/src/upgrade/coordinator.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "actors/owner.h"
-#include "actors/runtime.h"
-#include "actors/settings.h"
-#include "actors/state_store_client.h"
+#include "config/settings.h"
+#include "leadership/partition_leader.h"
+#include "runtime/runtime.h"
+#include "state_store/state_store_client.h"
 #include "upgrade/messages.h"
 
 namespace eiderreel::upgrade {
--- a/src/upgrade/http_routes.cc
+++ b/src/upgrade/http_routes.cc
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "codec/json.h"
-#include "codec/upgrade_json.h"
+#include "upgrade/upgrade_json.h"
 
 namespace eiderreel::upgrade {
 namespace {
--- a/src/upgrade/http_routes.h
+++ b/src/upgrade/http_routes.h
@@ -2,7 +2,7 @@
 #pragma once
 #include <string>
 
-#include "actors/runtime.h"
+#include "runtime/runtime.h"
 #include "upgrade/coordinator.h"
 
 namespace eiderreel::upgrade {
--- a/src/upgrade/messages.h
+++ b/src/upgrade/messages.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "model/types.h"
 #include "upgrade/step_plan.h"
 
 namespace eiderreel::upgrade {
--- a/src/upgrade/step_plan.h
+++ b/src/upgrade/step_plan.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "upgrade/acting_version.h"
-#include "upgrade/cluster_version.h"
+#include "versioning/acting_version.h"
+#include "versioning/cluster_version.h"
 
 namespace eiderreel::upgrade {
 
--- a/src/codec/upgrade_json.cc
+++ b/src/upgrade/upgrade_json.cc
@@ -1,4 +1,4 @@
-#include "codec/upgrade_json.h"
+#include "upgrade/upgrade_json.h"
 
 #include <fmt/format.h>
 
--- a/src/upgrade/acting_version.cc
+++ b/src/versioning/acting_version.cc
@@ -1,4 +1,4 @@
-#include "upgrade/acting_version.h"
+#include "versioning/acting_version.h"
 
 namespace eiderreel::upgrade {
 
--- a/src/upgrade/acting_version.h
+++ b/src/versioning/acting_version.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "upgrade/cluster_version.h"
+#include "versioning/cluster_version.h"
 
 namespace eiderreel::upgrade {
 
--- a/src/upgrade/cluster_version.cc
+++ b/src/versioning/cluster_version.cc
@@ -1,4 +1,4 @@
-#include "upgrade/cluster_version.h"
+#include "versioning/cluster_version.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/upgrade/maintenance_window.cc
+++ b/src/versioning/maintenance_window.cc
@@ -1,4 +1,4 @@
-#include "upgrade/maintenance_window.h"
+#include "versioning/maintenance_window.h"
 
 #include <date/date.h>
 #include <date/tz.h>
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "codec/json.h"
-#include "codec/mesh.h"
+#include "peer_rpc/messages.h"
 
 using namespace eiderreel;
 
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "codec/json.h"
-#include "codec/mesh.h"
+#include "peer_rpc/messages.h"
 #include "standin/old_build.h"
 
 using namespace eiderreel;
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -1,5 +1,5 @@
 // The graph of jobs that wait for other jobs, on its own.
-#include "core/dependency_graph.h"
+#include "scheduler/dependency_graph.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/part_test.cc
+++ b/tests/partition_scheduler_test.cc
@@ -1,5 +1,5 @@
 // The core alone: one part, told of reports and time.
-#include "core/part.h"
+#include "scheduler/partition_scheduler.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/processes/stand_in_servers.h
+++ b/tests/processes/stand_in_servers.h
@@ -5,8 +5,8 @@
 #include <set>
 #include <string>
 
-#include "actors/runtime.h"
 #include "net/http_reply.h"
+#include "runtime/runtime.h"
 
 struct event_base;
 struct evhttp;
--- a/tests/standin/checker.h
+++ b/tests/standin/checker.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "actors/settings.h"
-#include "core/types.h"
+#include "config/settings.h"
+#include "model/types.h"
 
 namespace eiderreel::standin {
 
--- a/tests/standin/old_build.h
+++ b/tests/standin/old_build.h
@@ -4,7 +4,7 @@
 #include <regex>
 #include <string>
 
-#include "codec/mesh.h"
+#include "peer_rpc/messages.h"
 
 namespace eiderreel::standin {
 
--- a/tests/standin/state_service.h
+++ b/tests/standin/state_service.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "actors/runtime.h"
+#include "runtime/runtime.h"
 
 namespace eiderreel::standin {
 
--- a/tests/standin/world.h
+++ b/tests/standin/world.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "actors/controller.h"
+#include "controller/controller.h"
 #include "standin/checker.h"
 #include "standin/state_service.h"
 #include "standin/version_checker.h"
--- a/tests/upgrade/conversion_test.cc
+++ b/tests/upgrade/conversion_test.cc
@@ -3,7 +3,7 @@
 #include <random>
 
 #include "codec/progress_form.h"
-#include "upgrade/progress_plan.h"
+#include "leadership/progress_plan.h"
 #include "upgrade/upgrade_world.h"
 
 using namespace eiderreel;
--- a/tests/upgrade/maintenance_window_test.cc
+++ b/tests/upgrade/maintenance_window_test.cc
@@ -1,6 +1,6 @@
 // Maintenance windows by the clocks of a time zone: over midnight, and at both changes of daylight
 // saving time.
-#include "upgrade/maintenance_window.h"
+#include "versioning/maintenance_window.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/upgrade/plan_test.cc
+++ b/tests/upgrade/plan_test.cc
@@ -1,8 +1,8 @@
 // What a step needs: every rule of the plan by itself, and the wire form of the requests.
 #include <gtest/gtest.h>
 
-#include "codec/upgrade_json.h"
 #include "upgrade/step_plan.h"
+#include "upgrade/upgrade_json.h"
 
 using namespace eiderreel;
 using namespace eiderreel::upgrade;
--- a/tests/upgrade/settings_test.cc
+++ b/tests/upgrade/settings_test.cc
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <fstream>
 
-#include "upgrade/upgrade_settings.h"
+#include "config/upgrade_settings.h"
 
 using namespace eiderreel;
 using namespace eiderreel::upgrade;
--- a/tests/upgrade/upgrade_world.h
+++ b/tests/upgrade/upgrade_world.h
@@ -9,10 +9,10 @@
 #include <utility>
 #include <vector>
 
-#include "codec/upgrade_json.h"
 #include "standin/expectations.h"
 #include "standin/text.h"
 #include "upgrade/messages.h"
+#include "upgrade/upgrade_json.h"
 
 namespace eiderreel::standin {
 
