--- a/src/api/job_admission.h
+++ b/src/api/job_admission.h
@@ -12,7 +12,7 @@
 
 namespace eiderreel {
 
-enum class Acceptance {
+enum class AdmissionResult {
   accepted,
   known,                 // it was accepted before: its user is told its state
   unknown_prerequisite,  // a prerequisite was never accepted: neither is the job
@@ -20,12 +20,12 @@
   too_large,             // its record does not fit into a value
 };
 
-class JobAcceptor {
+class JobAdmission {
  public:
-  using Done = std::function<void(Acceptance)>;
+  using Done = std::function<void(AdmissionResult)>;
 
-  JobAcceptor(const Settings& s, StateStoreClient& state_store)
-      : s_(s), state_store_(state_store) {}
+  JobAdmission(const Settings& settings, StateStoreClient& state_store)
+      : settings_(settings), state_store_(state_store) {}
   void accept(JobSpec job, Done done);
 
  private:
@@ -34,9 +34,9 @@
     JobSpec job;
     std::vector<Done> waiting;
     std::string nonce;
-    std::vector<std::string> parts;  // values of its prerequisites, where they need several
-    std::size_t written = 0;         // parts that are durable
-    std::uint64_t last_part_revision = 0;
+    std::vector<std::string> chunks;  // values of its prerequisites, where they need several
+    std::size_t written = 0;          // chunks that are durable
+    std::uint64_t last_chunk_revision = 0;
   };
   using Pending = std::shared_ptr<Submission>;
 
@@ -45,13 +45,15 @@
   std::vector<std::string> unknown_prerequisites(const JobSpec& job) const;
   void write(const Pending& p);
   void split(Submission& submission) const;
-  void write_parts(const Pending& p);
+  void write_chunks(const Pending& p);
   void commit_record(const JobSpec& job, std::string value, std::string nonce,
                      std::vector<codec::Precondition> preconditions, Done done);
-  void end(const Pending& p, Acceptance acceptance);
-  std::size_t value_limit() const { return static_cast<std::size_t>(s_.state_value_kb * 1024); }
+  void end(const Pending& p, AdmissionResult admission);
+  std::size_t value_limit() const {
+    return static_cast<std::size_t>(settings_.state_value_kb * 1024);
+  }
 
-  const Settings& s_;
+  const Settings& settings_;
   StateStoreClient& state_store_;
   std::map<std::string, Pending> pending_;
 };
--- a/src/api/job_api.h
+++ b/src/api/job_api.h
@@ -14,56 +14,58 @@
  public:
   struct Hooks {
     // Sends a question to a peer over the mesh.
-    std::function<void(const std::string& node, const mesh::Ask&)> ask_peer;
+    std::function<void(const std::string& node, const peer_rpc::JobQuery&)> query_peer;
   };
   struct Counters {
     std::map<int, std::uint64_t> submits, polls, cancels;  // by status
-    Latency submit_latency, poll_latency, cancel_latency;
+    LatencyHistogram submit_latency, poll_latency, cancel_latency;
   };
 
-  JobApi(Runtime& rt, const Settings& s, StateStoreClient& state_store, Owner& owner);
+  JobApi(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
+         PartitionLeader& partition_leader);
   void start(Hooks hooks) { hooks_ = std::move(hooks); }
 
   // --- messages ---
   void submit(const std::string& body, Reply reply);
   void poll(const std::string& id, Reply reply);
   void cancel(const std::string& id, Reply reply);
-  void peer_answer(const mesh::Answer& a);
+  void on_query_reply(const peer_rpc::JobQueryReply& a);
   void types_known(const std::vector<MachineType>& types) { types_ = types; }
 
   bool ready() const {
-    return state_store_.view().ready && !types_.empty() && state_store_.stands_aside().empty();
+    return state_store_.view().ready && !types_.empty() && state_store_.standby_reason().empty();
   }
   const Counters& counters() const { return counters_; }
 
  private:
-  Reply counted(std::map<int, std::uint64_t>& by_status, Latency& latency, Reply reply);
+  Reply counted(std::map<int, std::uint64_t>& by_status, LatencyHistogram& latency, Reply reply);
   // Asks the owner, here or over the mesh; status 0 when it cannot be had.
-  void ask_owner(const std::string& id, bool cancel, Reply reply);
+  void query_leader(const std::string& id, bool cancel, Reply reply);
   void look_up(const std::string& id, bool cancel, Reply reply);
-  void tell_final(const std::string& id, JobPhase phase, bool cancel, const Reply& reply) const;
+  void reply_final(const std::string& id, JobPhase phase, bool cancel, const Reply& reply) const;
   // What is known of an open job, from a question that was asked at `asked_at`.
-  struct OpenAnswer {
+  struct OpenJobReply {
     Ms asked_at = 0;
     int status = 0;
     std::string body;
   };
-  void tell_open(const std::string& id, bool cancel, OpenAnswer answer, const Reply& reply) const;
+  void reply_open(const std::string& id, bool cancel, OpenJobReply answer,
+                  const Reply& reply) const;
   void read_open(const std::string& id, bool cancel, Reply reply);
-  void tell_waiting(const std::string& id, const Reply& reply);
-  void tell_acceptance(const std::string& id, Acceptance acceptance, const Reply& reply);
+  void reply_waiting(const std::string& id, const Reply& reply);
+  void reply_admission(const std::string& id, AdmissionResult admission, const Reply& reply);
   void refuse_if_unknown(const std::string& id, std::string error, Reply reply);
   std::string can_never_run(const JobSpec& j) const;
 
-  Runtime& rt_;
-  const Settings& s_;
+  Runtime& runtime_;
+  const Settings& settings_;
   StateStoreClient& state_store_;
-  Owner& owner_;
-  JobAcceptor acceptor_;
+  PartitionLeader& partition_leader_;
+  JobAdmission admission_;
   Hooks hooks_;
   std::vector<MachineType> types_;
-  std::uint64_t next_ask_ = 0;
-  std::map<std::uint64_t, Reply> asks_;
+  std::uint64_t next_query_ = 0;
+  std::map<std::uint64_t, Reply> pending_queries_;
   Counters counters_;
 };
 
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -63,7 +63,7 @@
   Settings s;
   if (!load(files, s)) return kExitSettings;
   std::cout << files.platform << ": good; node " << s.node << ", " << s.peers.size() << " peers, "
-            << s.teams.size() << " teams in " << s.parts << " parts\n";
+            << s.teams.size() << " teams in " << s.partition_count << " parts\n";
   if (s.upgrade.enabled)
     std::cout << files.upgrade << ": good; versions " << upgrade::to_string(s.upgrade.range)
               << ", automatic steps " << (s.upgrade.automatic ? "on" : "off") << "\n";
@@ -86,7 +86,7 @@
     spdlog::error("start failed node={} reason=\"{}\"", s.node, error);
     return kExitFailed;
   }
-  spdlog::info("start node={} api={} mesh={} boot={}", s.node, s.api_addr, s.mesh_addr,
+  spdlog::info("start node={} api={} mesh={} boot={}", s.node, s.api_addr, s.peer_addr,
                loop.boot_id());
   controller.start();
   loop.every(constants::kTickMs, [&] { controller.tick(); });
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -8,23 +8,24 @@
 namespace k = constants;
 
 void CloudClient::start() {
-  refilled_at_ = rt_.now();
-  tokens_ = s_.cloud_rps / 2;
+  refilled_at_ = runtime_.now();
+  tokens_ = settings_.cloud_rps / 2;
 }
 
 void CloudClient::call(HttpRequest r, std::function<void(HttpReply)> done) {
-  const Ms now = rt_.now();
+  const Ms now = runtime_.now();
   const double seconds = static_cast<double>(now - refilled_at_) / 1000.0;
-  tokens_ = std::min(s_.cloud_rps, tokens_ + seconds * s_.cloud_rps * k::kBudgetShare);
+  tokens_ =
+      std::min(settings_.cloud_rps, tokens_ + seconds * settings_.cloud_rps * k::kBudgetShare);
   refilled_at_ = now;
   if (tokens_ < 1) {
-    rt_.after(k::kRetryMs, [done = std::move(done)] { done({429, ""}); });
+    runtime_.after(k::kRetryMs, [done = std::move(done)] { done({429, ""}); });
     return;
   }
   tokens_ -= 1;
-  r.addr = s_.cloud_addr;
+  r.addr = settings_.cloud_addr;
   r.timeout = k::kCloudTimeoutMs;
-  rt_.http(std::move(r), [this, done = std::move(done)](HttpReply reply) {
+  runtime_.http(std::move(r), [this, done = std::move(done)](HttpReply reply) {
     ++replies_[reply.status];
     done(std::move(reply));
   });
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -10,7 +10,8 @@
 
 class CloudClient {
  public:
-  CloudClient(Runtime& rt, const Settings& s) : rt_(rt), s_(s) {}
+  CloudClient(Runtime& runtime, const Settings& settings)
+      : runtime_(runtime), settings_(settings) {}
   void start();
   // A call over the limit is refused here as the cloud would; its caller tries again.
   void call(HttpRequest r, std::function<void(HttpReply)> done);
@@ -18,8 +19,8 @@
   const std::map<int, std::uint64_t>& replies() const { return replies_; }
 
  private:
-  Runtime& rt_;
-  const Settings& s_;
+  Runtime& runtime_;
+  const Settings& settings_;
   double tokens_ = 0;
   Ms refilled_at_ = 0;
   std::map<int, std::uint64_t> replies_;
--- a/src/codec/cloud_json.cc
+++ b/src/codec/cloud_json.cc
@@ -51,7 +51,7 @@
   return out;
 }
 
-std::optional<std::vector<std::string>> parse_rented(const std::string& body) {
+std::optional<std::vector<std::string>> parse_provisioned(const std::string& body) {
   Doc d;
   if (!parse(d, body)) return std::nullopt;
   const Value* rows = field(d, "hosts");
@@ -62,8 +62,8 @@
   return out;
 }
 
-std::string rent_body(const std::string& charter, const std::string& type, const std::string& zone,
-                      bool spot, int count) {
+std::string scale_out_body(const std::string& charter, const std::string& type,
+                           const std::string& zone, bool spot, int count) {
   return object([&](Writer& w) {
     put(w, "charter", charter);
     put(w, "hull", type);
@@ -73,7 +73,7 @@
   });
 }
 
-std::string return_body(const std::vector<std::string>& machines) {
+std::string scale_in_body(const std::vector<std::string>& machines) {
   return object([&](Writer& w) {
     w.Key("hosts");
     w.StartArray();
--- a/src/codec/job_json.cc
+++ b/src/codec/job_json.cc
@@ -25,7 +25,7 @@
   if (!get(d, "crew", j.team)) return "crew";
   std::string s;
   if (!get(d, "shape", s)) return "shape";
-  auto kind = named<Kind>(s, kKinds);
+  auto kind = named<JobKind>(s, kKinds);
   if (!kind) return "shape";
   j.kind = *kind;
   if (!get(d, "rank", s)) return "rank";
--- a/src/codec/json.h
+++ b/src/codec/json.h
@@ -25,9 +25,9 @@
 const char* phase_name(JobPhase p);
 
 // --- workers ---
-std::optional<Report> parse_report(const std::string& body);
-std::string report_answer(std::uint64_t term, const std::vector<Command>& commands);
-std::string commands_body(std::uint64_t term, std::uint64_t session,
+std::optional<Heartbeat> parse_heartbeat(const std::string& body);
+std::string heartbeat_reply_body(std::uint64_t fencing_token, const std::vector<Command>& commands);
+std::string commands_body(std::uint64_t fencing_token, std::uint64_t incarnation,
                           const std::vector<Command>& commands);
 std::string upstream_body(const std::string& node);
 
@@ -43,25 +43,25 @@
 };
 std::optional<std::vector<MachineType>> parse_catalog(const std::string& body);
 std::optional<MachineList> parse_machines(const std::string& body);
-std::optional<std::vector<std::string>> parse_rented(const std::string& body);
-std::string rent_body(const std::string& charter, const std::string& type, const std::string& zone,
-                      bool spot, int count);
-std::string return_body(const std::vector<std::string>& machines);
+std::optional<std::vector<std::string>> parse_provisioned(const std::string& body);
+std::string scale_out_body(const std::string& charter, const std::string& type,
+                           const std::string& zone, bool spot, int count);
+std::string scale_in_body(const std::vector<std::string>& machines);
 
 // --- state service ---
 // The records we keep there. `nonce` tells our own write apart when an answer is missing.
-struct PartRecord {
-  std::string owner;
-  std::uint64_t grant = 0;
+struct PartitionRecord {
+  std::string leader;
+  std::uint64_t lease_id = 0;
 };
 struct MachineRecord {
-  int part = -1;  // -1: released, to be returned
+  int partition = -1;  // -1: released, to be returned
   std::string type, zone, addr;
   bool spot = false;
 };
 struct NodeRecord {
   std::string boot;
-  std::uint64_t grant = 0;
+  std::uint64_t lease_id = 0;
   std::uint64_t features = 0;  // see constants::kFeatures; 0: a build from before there were any
   // Nothing: a build from before cluster versions, or one that takes no part in them.
   std::optional<upgrade::BuildVersions> versions = std::nullopt;
@@ -79,7 +79,7 @@
   std::string request;  // its name, chosen by who asked
 };
 // Prerequisites of a job that names more than fit into its record.
-struct PrerequisitePart {
+struct PrerequisiteChunk {
   std::vector<std::string> jobs;
 };
 // Tasks of a job whose progress shares a value. A job with more tasks than fit into one has
@@ -91,13 +91,13 @@
 };
 // The range that holds a task, for values of at most so many bytes.
 TaskRange progress_range(std::uint32_t task, std::uint32_t tasks, std::size_t value_bytes);
-std::string encode(const PartRecord& r, const std::string& nonce);
+std::string encode(const PartitionRecord& r, const std::string& nonce);
 std::string encode(const MachineRecord& r, const std::string& nonce);
 std::string encode(const NodeRecord& r, const std::string& nonce);
 std::string encode(const JobSpec& r, const std::string& nonce);
 // The record of a job whose prerequisites stand in so many values of their own.
-std::string encode_spread(const JobSpec& r, std::size_t parts, const std::string& nonce);
-std::string encode(const PrerequisitePart& r, const std::string& nonce);
+std::string encode_with_chunks(const JobSpec& r, std::size_t chunks, const std::string& nonce);
+std::string encode(const PrerequisiteChunk& r, const std::string& nonce);
 std::string encode_final(JobPhase p, Ms at, const std::string& nonce);
 // `tasks` in ascending order.
 std::string encode_done(const std::vector<std::uint32_t>& tasks, const TaskRange& range,
@@ -110,12 +110,12 @@
   std::uint64_t revision = 0;
   std::string nonce;
   // what the value holds, by its key
-  std::optional<PartRecord> part;
+  std::optional<PartitionRecord> partition;
   std::optional<MachineRecord> machine;
   std::optional<NodeRecord> node;
   std::optional<JobSpec> job;
-  std::size_t prerequisite_parts = 0;  // of the job's prerequisites, where they are spread
-  std::optional<PrerequisitePart> prerequisites;
+  std::size_t prerequisite_chunks = 0;  // of the job's prerequisites, where they are spread
+  std::optional<PrerequisiteChunk> prerequisites;
   std::optional<JobPhase> final_phase;
   std::optional<Ms> final_at;  // time of day; earlier builds did not write it
   std::optional<DoneRecord> done;
@@ -123,7 +123,7 @@
   std::string text;  // the value as it is, of keys that another codec reads
 
   bool has_prerequisites() const {
-    return prerequisite_parts > 0 || (job && !job->prerequisites.empty());
+    return prerequisite_chunks > 0 || (job && !job->prerequisites.empty());
   }
 };
 struct StateList {
@@ -143,37 +143,37 @@
 struct Write {
   std::string key;
   std::string value;  // JSON; empty: delete
-  bool tethered = false;
+  bool lease_bound = false;
 };
 struct Precondition {
   std::string key;
   std::uint64_t revision = 0;
 };
 std::string commit_body(const std::vector<Precondition>& preconditions,
-                        const std::vector<Write>& writes, std::uint64_t grant);
-std::string grant_body(Ms life);
+                        const std::vector<Write>& writes, std::uint64_t lease_id);
+std::string lease_request_body(Ms life);
 
 // Keys. All under `e/` is followed by every node; `d/` (done tasks) is read at take-over only.
 std::string version_key();
 std::string version_prefix();       // followed where cluster versions are enabled
 std::string all_progress_prefix();  // of every partition
-std::string part_key(int part);
+std::string partition_key(int partition);
 std::string machine_key(const std::string& id);
 std::string node_key(const std::string& name);
 std::string job_key(const std::string& id);
 std::string final_key(const std::string& id);
-std::string done_prefix(int part);
-std::string done_key(int part, const std::string& id, const TaskRange& range);
+std::string done_prefix(int partition);
+std::string done_key(int partition, const std::string& id, const TaskRange& range);
 // The last key that comes before the final record of this job.
 std::string before_final_key(const std::string& id);
 // Where the prerequisites of a job are kept that do not fit into its record; the nonce is the
-// record's, so that parts of another try are never taken for its own.
-std::string prerequisite_key(const std::string& id, const std::string& nonce, std::size_t part);
-struct PrerequisiteKey {
+// record's, so that chunks of another try are never taken for its own.
+std::string prerequisite_key(const std::string& id, const std::string& nonce, std::size_t chunk);
+struct PrerequisiteChunkKey {
   std::string job, nonce;
-  std::size_t part = 0;
+  std::size_t chunk = 0;
 };
-std::optional<PrerequisiteKey> parse_prerequisite_key(const std::string& key);
+std::optional<PrerequisiteChunkKey> parse_prerequisite_key(const std::string& key);
 // The last segment of a key, and for done keys the job's id.
 std::string key_name(const std::string& key);
 std::string done_key_job(const std::string& key);
--- a/src/codec/progress_form.cc
+++ b/src/codec/progress_form.cc
@@ -55,7 +55,8 @@
 std::vector<std::uint32_t> unpack_bits(const std::string& text, std::uint32_t first) {
   static const std::string digits(kDigits);
   std::vector<std::uint32_t> tasks;
-  for (std::size_t i = 0; i < text.size() && i * kBitsPerDigit < constants::kDoneChunk; ++i) {
+  for (std::size_t i = 0; i < text.size() && i * kBitsPerDigit < constants::kProgressChunkTasks;
+       ++i) {
     const auto value = digits.find(text[i]);
     if (value == std::string::npos) continue;
     for (std::uint32_t bit = 0; bit < kBitsPerDigit; ++bit)
--- a/src/codec/state_json.cc
+++ b/src/codec/state_json.cc
@@ -15,7 +15,7 @@
 using upgrade::ProgressForm;
 
 constexpr char kNestedJob[] = "job";
-constexpr char kPrerequisiteParts[] = "awaits_parts";
+constexpr char kPrerequisiteChunks[] = "awaits_parts";
 constexpr std::uint64_t kCompactForm = 2;  // bits have no number, as earlier builds wrote none
 constexpr char kWholeJob[] = "all";        // in place of a range, the value tells of all tasks
 constexpr char kHistory[] = "u/history/";  // see upgrade_json.cc
@@ -32,11 +32,11 @@
   const Value* nested = field(v, kNestedJob);
   const Value& job = nested && nested->IsObject() ? *nested : v;
   JobSpec spec;
-  std::uint64_t at = 0, parts = 0;
+  std::uint64_t at = 0, chunks = 0;
   if (get(job, "at_ms", at)) spec.accepted_at = static_cast<Ms>(at);
   if (!parse_spec(job, spec).empty()) return;
   if (nested && !parse_job_ids(v, "awaits", spec.prerequisites)) return;
-  if (get(v, kPrerequisiteParts, parts)) r.prerequisite_parts = parts;
+  if (get(v, kPrerequisiteChunks, chunks)) r.prerequisite_chunks = chunks;
   r.job = std::move(spec);
 }
 
@@ -45,7 +45,7 @@
 std::optional<std::uint32_t> first_task(const Value& v) {
   std::uint64_t chunk = 0, first = 0;
   if (get(v, "chunk", chunk) && chunk < constants::kTasksMax)
-    first = chunk * constants::kDoneChunk;
+    first = chunk * constants::kProgressChunkTasks;
   else if (!get(v, "first", first))
     return std::nullopt;
   if (first >= constants::kTasksMax) return std::nullopt;
@@ -77,7 +77,7 @@
 void read_node(const Value& v, StateRow& r) {
   NodeRecord n;
   get(v, "features", n.features);
-  if (!get(v, "boot", n.boot) || !get(v, "grant", n.grant)) return;
+  if (!get(v, "boot", n.boot) || !get(v, "grant", n.lease_id)) return;
   std::uint64_t oldest = 0, newest = 0, acting = 0;
   if (get(v, "oldest", oldest) && get(v, "newest", newest) && get(v, "acting", acting)) {
     upgrade::BuildVersions versions;
@@ -114,14 +114,14 @@
   if (!v.IsObject()) return;
   get(v, "n", r.nonce);
   if (starts_with(r.key, "e/part/")) {
-    PartRecord p;
-    if (get(v, "owner", p.owner) && get(v, "grant", p.grant)) r.part = p;
+    PartitionRecord p;
+    if (get(v, "owner", p.leader) && get(v, "grant", p.lease_id)) r.partition = p;
   } else if (starts_with(r.key, "e/machine/")) {
     const Value* p = field(v, "part");
     MachineRecord m;
     if (p && p->IsInt() && get(v, "type", m.type) && get(v, "zone", m.zone) &&
         get(v, "addr", m.addr) && get(v, "spot", m.spot)) {
-      m.part = p->GetInt();
+      m.partition = p->GetInt();
       r.machine = m;
     }
   } else if (starts_with(r.key, "e/node/")) {
@@ -129,8 +129,8 @@
   } else if (starts_with(r.key, "e/job/")) {
     read_job(v, r);
   } else if (starts_with(r.key, "e/awaits/")) {
-    PrerequisitePart part;
-    if (parse_job_ids(v, "awaits", part.jobs)) r.prerequisites = std::move(part);
+    PrerequisiteChunk chunk;
+    if (parse_job_ids(v, "awaits", chunk.jobs)) r.prerequisites = std::move(chunk);
   } else if (starts_with(r.key, "e/final/")) {
     std::string p;
     std::uint64_t at = 0;
@@ -177,17 +177,17 @@
 
 }  // namespace
 
-std::string encode(const PartRecord& r, const std::string& nonce) {
+std::string encode(const PartitionRecord& r, const std::string& nonce) {
   return object([&](Writer& w) {
     put(w, "n", nonce);
-    put(w, "owner", r.owner);
-    put(w, "grant", r.grant);
+    put(w, "owner", r.leader);
+    put(w, "grant", r.lease_id);
   });
 }
 std::string encode(const MachineRecord& r, const std::string& nonce) {
   return object([&](Writer& w) {
     put(w, "n", nonce);
-    put(w, "part", r.part);
+    put(w, "part", r.partition);
     put(w, "type", r.type);
     put(w, "zone", r.zone);
     put(w, "addr", r.addr);
@@ -198,7 +198,7 @@
   return object([&](Writer& w) {
     put(w, "n", nonce);
     put(w, "boot", r.boot);
-    put(w, "grant", r.grant);
+    put(w, "grant", r.lease_id);
     if (r.features > 0) put(w, "features", r.features);
     if (!r.versions) return;
     put(w, "oldest", std::uint64_t{upgrade::number(r.versions->range.oldest)});
@@ -215,14 +215,14 @@
     put_nested_job(w, r);
   });
 }
-std::string encode_spread(const JobSpec& r, std::size_t parts, const std::string& nonce) {
+std::string encode_with_chunks(const JobSpec& r, std::size_t chunks, const std::string& nonce) {
   return object([&](Writer& w) {
     put(w, "n", nonce);
-    put(w, kPrerequisiteParts, static_cast<std::uint64_t>(parts));
+    put(w, kPrerequisiteChunks, static_cast<std::uint64_t>(chunks));
     put_nested_job(w, r);
   });
 }
-std::string encode(const PrerequisitePart& r, const std::string& nonce) {
+std::string encode(const PrerequisiteChunk& r, const std::string& nonce) {
   return object([&](Writer& w) {
     put(w, "n", nonce);
     put_job_ids(w, "awaits", r.jobs);
@@ -250,8 +250,8 @@
                         ProgressForm form, const std::string& nonce) {
   return object([&](Writer& w) {
     put(w, "n", nonce);
-    if (!range.whole && range.count == constants::kDoneChunk)
-      put(w, "chunk", std::uint64_t{range.first / constants::kDoneChunk});
+    if (!range.whole && range.count == constants::kProgressChunkTasks)
+      put(w, "chunk", std::uint64_t{range.first / constants::kProgressChunkTasks});
     else
       put(w, "first", std::uint64_t{range.first});
     if (form == ProgressForm::bits) return put(w, "bits", pack_bits(tasks, range.first));
@@ -260,7 +260,7 @@
     std::string roaring = pack_roaring(tasks, range.first);
     const std::uint32_t last = tasks.empty() ? range.first : tasks.back();
     const std::uint32_t span = last - range.first + 1;
-    if (span <= constants::kDoneChunk && packed_size(span) <= roaring.size())
+    if (span <= constants::kProgressChunkTasks && packed_size(span) <= roaring.size())
       put(w, "bits", pack_bits(tasks, range.first));
     else
       put(w, "roaring", roaring);
@@ -269,9 +269,9 @@
 
 // Whole chunks, as earlier builds have them, wherever those fit.
 TaskRange progress_range(std::uint32_t task, std::uint32_t tasks, std::size_t value_bytes) {
-  const std::uint32_t largest = std::min(tasks, constants::kDoneChunk);
+  const std::uint32_t largest = std::min(tasks, constants::kProgressChunkTasks);
   const std::size_t digits = value_bytes - std::min(value_bytes, constants::kProgressOverhead);
-  std::uint32_t count = constants::kDoneChunk;
+  std::uint32_t count = constants::kProgressChunkTasks;
   if (packed_size(largest) > digits)
     count =
         std::max<std::uint32_t>(static_cast<std::uint32_t>(digits) * kBitsPerDigit, kBitsPerDigit);
@@ -319,7 +319,7 @@
 }
 
 std::string commit_body(const std::vector<Precondition>& preconditions,
-                        const std::vector<Write>& writes, std::uint64_t grant) {
+                        const std::vector<Write>& writes, std::uint64_t lease_id) {
   return object([&](Writer& w) {
     w.Key("guards");
     w.StartArray();
@@ -340,7 +340,7 @@
         put(w, "write", o.key);
         w.Key("v");
         w.RawValue(o.value.data(), o.value.size(), rapidjson::kObjectType);
-        if (o.tethered) put(w, "tether", grant);
+        if (o.lease_bound) put(w, "tether", lease_id);
       }
       w.EndObject();
     }
@@ -348,45 +348,46 @@
   });
 }
 
-std::string grant_body(Ms life) {
+std::string lease_request_body(Ms life) {
   return object([&](Writer& w) { put(w, "life_ms", static_cast<std::uint64_t>(life)); });
 }
 
 std::string version_key() { return kVersionKey; }
 std::string version_prefix() { return "e/upgrade/"; }
 std::string all_progress_prefix() { return "d/"; }
-std::string part_key(int part) { return "e/part/" + std::to_string(part); }
+std::string partition_key(int partition) { return "e/part/" + std::to_string(partition); }
 std::string machine_key(const std::string& id) { return "e/machine/" + id; }
 std::string node_key(const std::string& name) { return "e/node/" + name; }
 std::string job_key(const std::string& id) { return "e/job/" + id; }
 std::string final_key(const std::string& id) { return "e/final/" + id; }
-std::string done_prefix(int part) { return "d/" + std::to_string(part) + "/"; }
-std::string done_key(int part, const std::string& id, const TaskRange& range) {
+std::string done_prefix(int partition) { return "d/" + std::to_string(partition) + "/"; }
+std::string done_key(int partition, const std::string& id, const TaskRange& range) {
   const std::string name = range.whole ? kWholeJob
-                           : range.count == constants::kDoneChunk
-                               ? std::to_string(range.first / constants::kDoneChunk)
+                           : range.count == constants::kProgressChunkTasks
+                               ? std::to_string(range.first / constants::kProgressChunkTasks)
                                : "p" + std::to_string(range.first);
-  return done_prefix(part) + id + "/" + name;
+  return done_prefix(partition) + id + "/" + name;
 }
 std::string before_final_key(const std::string& id) {
   std::string key = final_key(id);
   --key.back();
   return key + "~";  // after every id that begins with this, and before the next one
 }
-std::string prerequisite_key(const std::string& id, const std::string& nonce, std::size_t part) {
-  return "e/awaits/" + id + "/" + nonce + "/" + std::to_string(part);
+std::string prerequisite_key(const std::string& id, const std::string& nonce, std::size_t chunk) {
+  return "e/awaits/" + id + "/" + nonce + "/" + std::to_string(chunk);
 }
-std::optional<PrerequisiteKey> parse_prerequisite_key(const std::string& key) {
+std::optional<PrerequisiteChunkKey> parse_prerequisite_key(const std::string& key) {
   static const std::string prefix = "e/awaits/";
   if (!starts_with(key, prefix.c_str())) return std::nullopt;
   const auto job_end = key.find('/', prefix.size());
   const auto nonce_end = key.rfind('/');
   if (job_end == std::string::npos || nonce_end <= job_end) return std::nullopt;
-  const std::string part = key.substr(nonce_end + 1);
-  if (part.empty() || part.find_first_not_of("0123456789") != std::string::npos || part.size() > 6)
+  const std::string chunk = key.substr(nonce_end + 1);
+  if (chunk.empty() || chunk.find_first_not_of("0123456789") != std::string::npos ||
+      chunk.size() > 6)
     return std::nullopt;
-  return PrerequisiteKey{key.substr(prefix.size(), job_end - prefix.size()),
-                         key.substr(job_end + 1, nonce_end - job_end - 1), std::stoul(part)};
+  return PrerequisiteChunkKey{key.substr(prefix.size(), job_end - prefix.size()),
+                              key.substr(job_end + 1, nonce_end - job_end - 1), std::stoul(chunk)};
 }
 std::string key_name(const std::string& key) { return key.substr(key.rfind('/') + 1); }
 std::string done_key_job(const std::string& key) {
--- a/src/codec/worker_json.cc
+++ b/src/codec/worker_json.cc
@@ -33,10 +33,10 @@
   w.StartArray();
   for (const auto& o : commands) {
     w.StartObject();
-    put(w, "verb", std::string(kVerbs[static_cast<int>(o.verb)]));
+    put(w, "verb", std::string(kVerbs[static_cast<int>(o.type)]));
     put(w, "shard", task_name(o.job, o.index));
     put(w, "try", o.attempt);
-    if (o.verb == Verb::kill) put(w, "mercy_s", o.grace_s);
+    if (o.type == CommandType::kill) put(w, "mercy_s", o.grace_s);
     w.EndObject();
   }
   w.EndArray();
@@ -44,13 +44,14 @@
 
 }  // namespace
 
-std::optional<Report> parse_report(const std::string& body) {
+std::optional<Heartbeat> parse_heartbeat(const std::string& body) {
   Doc d;
   if (!parse(d, body)) return std::nullopt;
-  Report r;
+  Heartbeat r;
   if (!get(d, "host", r.machine) || !get(d, "endpoint", r.addr) || !get(d, "hull", r.type) ||
-      !get(d, "berth", r.zone) || !get(d, "driftwood", r.spot) || !get(d, "tenure", r.session) ||
-      !get(d, "tick", r.sequence) || !get(d, "epoch", r.term))
+      !get(d, "berth", r.zone) || !get(d, "driftwood", r.spot) ||
+      !get(d, "tenure", r.incarnation) || !get(d, "tick", r.sequence) ||
+      !get(d, "epoch", r.fencing_token))
     return std::nullopt;
   double notice = 0;
   if (get(d, "warning_s", notice)) r.notice_s = notice;
@@ -58,7 +59,7 @@
   if (!tasks || !tasks->IsArray()) return std::nullopt;
   for (const auto& e : tasks->GetArray()) {
     if (!e.IsObject()) return std::nullopt;
-    TaskReport t;
+    TaskStatus t;
     std::string name, phase, exit_reason;
     if (!get(e, "shard", name) || !parse_task_name(name, t.job, t.index) ||
         !get(e, "try", t.attempt) || !get(e, "phase", phase))
@@ -72,18 +73,19 @@
   return r;
 }
 
-std::string report_answer(std::uint64_t term, const std::vector<Command>& commands) {
+std::string heartbeat_reply_body(std::uint64_t fencing_token,
+                                 const std::vector<Command>& commands) {
   return object([&](Writer& w) {
-    put(w, "epoch", term);
+    put(w, "epoch", fencing_token);
     put_orders(w, commands);
   });
 }
 
-std::string commands_body(std::uint64_t term, std::uint64_t session,
+std::string commands_body(std::uint64_t fencing_token, std::uint64_t incarnation,
                           const std::vector<Command>& commands) {
   return object([&](Writer& w) {
-    put(w, "epoch", term);
-    put(w, "tenure", session);
+    put(w, "epoch", fencing_token);
+    put(w, "tenure", incarnation);
     put_orders(w, commands);
   });
 }
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -50,7 +50,7 @@
   r.text(t, "", "node_name", s.node);
   r.text(t, "", "area", s.zone);
   r.address(t, "", "api_addr", s.api_addr);
-  r.address(t, "", "mesh_addr", s.mesh_addr);
+  r.address(t, "", "mesh_addr", s.peer_addr);
   if (const auto* known = t.get("known")) {
     if (!known->is_array()) {
       r.problem("known", "must be a list of tables");
@@ -65,7 +65,7 @@
         Peer p;
         r.text(*e, path, "node_name", p.name);
         r.text(*e, path, "area", p.zone);
-        r.address(*e, path, "endpoint", p.mesh_addr);
+        r.address(*e, path, "endpoint", p.peer_addr);
         if (!p.name.empty() && p.name == s.node) r.problem(path + "node_name", "is our own name");
         s.peers.push_back(p);
       }
@@ -77,7 +77,7 @@
   }
   const auto* p = r.table(t, "", "params");
   if (!p) return result;
-  r.whole(*p, "params.", "size", 1, 1000, s.parts);
+  r.whole(*p, "params.", "size", 1, 1000, s.partition_count);
   r.number(*p, "params.", "skew_ms", 0, 60000, s.skew_ms);
   if (const auto* zones = p->get("zones"); zones && zones->is_array()) {
     for (const auto& z : *zones->as_array())
@@ -96,15 +96,17 @@
       }
       Team team;
       r.text(*e, path, "name", team.name);
-      r.number(*e, path, "cpus", 0, 1e7, team.cpus);
-      r.number(*e, path, "cpus_max", 0, 1e7, team.cpus_max);
-      r.number(*e, path, "gpus", 0, 1e7, team.gpus);
-      r.number(*e, path, "gpus_max", 0, 1e7, team.gpus_max);
+      r.number(*e, path, "cpus", 0, 1e7, team.fair_share_cpus);
+      r.number(*e, path, "cpus_max", 0, 1e7, team.quota_cpus);
+      r.number(*e, path, "gpus", 0, 1e7, team.fair_share_gpus);
+      r.number(*e, path, "gpus_max", 0, 1e7, team.quota_gpus);
       // Guard: a limit of 0 is none. Taken for a limit it refused every job of guests with 422.
-      for (double* most : {&team.cpus_max, &team.gpus_max})
+      for (double* most : {&team.quota_cpus, &team.quota_gpus})
         if (*most == 0) *most = std::numeric_limits<double>::infinity();
-      if (team.cpus > team.cpus_max) r.problem(path + "cpus", "is above the team's cpus_max");
-      if (team.gpus > team.gpus_max) r.problem(path + "gpus", "is above the team's gpus_max");
+      if (team.fair_share_cpus > team.quota_cpus)
+        r.problem(path + "cpus", "is above the team's cpus_max");
+      if (team.fair_share_gpus > team.quota_gpus)
+        r.problem(path + "gpus", "is above the team's gpus_max");
       for (const auto& other : s.teams)
         if (other.name == team.name) r.problem(path + "name", "is there twice");
       s.teams.push_back(team);
@@ -118,20 +120,20 @@
       const std::string kind = (*o)["kind"].value_or(std::string());
       const std::string jobclass = (*o)["class"].value_or(std::string());
       if (kind == "finished")
-        s.finish_aims[jobclass].push_back({(*o)["within_s"].value_or(0.0), 0});
+        s.completion_objectives[jobclass].push_back({(*o)["within_s"].value_or(0.0), 0});
       else if (kind == "wait")
-        s.wait_aims[jobclass] = (*o)["within_s"].value_or(0.0);
+        s.start_objectives_s[jobclass] = (*o)["within_s"].value_or(0.0);
       else if (kind == "guarantee")
-        s.guarantee_s = (*o)["within_s"].value_or(s.guarantee_s);
+        s.fair_share_start_s = (*o)["within_s"].value_or(s.fair_share_start_s);
       else if (kind == "deadline")
-        s.finish_aims[jobclass].push_back({0, (*o)["times"].value_or(1.0)});
+        s.completion_objectives[jobclass].push_back({0, (*o)["times"].value_or(1.0)});
     }
   }
   if (const auto* w = r.table(*p, "params.", "workers")) {
-    r.number(*w, "params.workers.", "report_s", 0.1, 3600, s.report_s);
+    r.number(*w, "params.workers.", "report_s", 0.1, 3600, s.heartbeat_interval_s);
     r.number(*w, "params.workers.", "lease_s", 0.5, 36000, s.lease_s);
     r.number(*w, "params.workers.", "cancel_s", 0.5, 36000, s.cancel_s);
-    if (s.lease_s <= s.report_s)
+    if (s.lease_s <= s.heartbeat_interval_s)
       r.problem("params.workers.lease_s", "must be above params.workers.report_s");
   }
   if (const auto* st = r.table(*p, "params.", "state")) {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -10,21 +10,24 @@
 namespace eiderreel {
 
 struct Peer {
-  std::string name, zone, mesh_addr;
+  std::string name, zone, peer_addr;
 };
 
 struct Settings {
-  std::string node, zone, api_addr, mesh_addr;
+  std::string node, zone, api_addr, peer_addr;
   std::vector<Peer> peers;
   std::string cloud_addr, state_addr;
-  int parts = 1;
+  int partition_count = 1;
   std::vector<std::string> zones;
   double skew_ms = 0;
   std::vector<Team> teams;
-  std::map<std::string, std::vector<FinishAim>> finish_aims;  // by class of jobs
-  double guarantee_s = constants::kGuaranteeS;  // work within a guarantee starts by then
-  std::map<std::string, double> wait_aims;      // by class: its tasks should start within so long
-  double report_s = 1, lease_s = 10, cancel_s = 40;
+  std::map<std::string, std::vector<CompletionObjective>>
+      completion_objectives;  // by class of jobs
+  double fair_share_start_s =
+      constants::kFairShareStartS;  // work within a guarantee starts by then
+  std::map<std::string, double>
+      start_objectives_s;  // by class: its tasks should start within so long
+  double heartbeat_interval_s = 1, lease_s = 10, cancel_s = 40;
   // The lower of the limits as they are and as they will be (`state.next`).
   double state_rps = 50, state_write_rps = 20, state_value_kb = 8;
   int state_txn_ops = 16;
@@ -46,20 +49,21 @@
     return std::clamp(static_cast<int>(most), 1, state_txn_ops);
   }
   // The part that a team is in: teams are dealt out in the order of the settings.
-  int part_of_team(const std::string& team) const {
+  int partition_of_team(const std::string& team) const {
     for (std::size_t i = 0; i < teams.size(); ++i)
-      if (teams[i].name == team) return static_cast<int>(i % static_cast<std::size_t>(parts));
+      if (teams[i].name == team)
+        return static_cast<int>(i % static_cast<std::size_t>(partition_count));
     return -1;
   }
-  std::vector<Team> teams_of(int part) const {
+  std::vector<Team> teams_of(int partition) const {
     std::vector<Team> out;
     for (const auto& t : teams)
-      if (part_of_team(t.name) == part) out.push_back(t);
+      if (partition_of_team(t.name) == partition) out.push_back(t);
     return out;
   }
-  std::string home_of(int part) const {
+  std::string preferred_leader_of(int partition) const {
     auto n = node_names();
-    return n[static_cast<std::size_t>(part) % n.size()];
+    return n[static_cast<std::size_t>(partition) % n.size()];
   }
 };
 
--- a/src/constants.h
+++ b/src/constants.h
@@ -16,35 +16,37 @@
 constexpr Ms kTickMs = 50;          // ms; pace of all periodic work, fine enough for deferring
 
 // --- grants, parts ------------------------------------------------------------------------
-constexpr Ms kGrantLifeMs = 5000;       // ms; a dead owner's part is vacant after this
-constexpr Ms kExtendEveryMs = 1000;     // ms; four tries within one life
-constexpr Ms kGrantMarginMs = 300;      // ms; an owner stops acting this early
-constexpr Ms kClaimHomeAliveMs = 2500;  // ms; a vacant part waits so long for its living home node
-constexpr Ms kClaimOtherMs = 300;       // ms; pause before claiming a part whose home node is gone
-constexpr Ms kSilenceMs = 1000;         // ms; beyond the time in which every machine reports
-constexpr Ms kProbeEveryMs = 500;       // ms; a node that hears nothing asks a worker this often
+constexpr Ms kLeaseTtlMs = 5000;         // ms; a dead owner's part is vacant after this
+constexpr Ms kLeaseRenewEveryMs = 1000;  // ms; four tries within one life
+constexpr Ms kLeaseMarginMs = 300;       // ms; an owner stops acting this early
+constexpr Ms kClaimPreferredAliveMs =
+    2500;                              // ms; a vacant part waits so long for its living home node
+constexpr Ms kClaimOtherMs = 300;      // ms; pause before claiming a part whose home node is gone
+constexpr Ms kWorkerSilenceMs = 1000;  // ms; beyond the time in which every machine reports
+constexpr Ms kProbeEveryMs = 500;      // ms; a node that hears nothing asks a worker this often
 constexpr Ms kClaimWorkersLostMs = 3000;  // ms; more, for a node that hears no worker
-constexpr Ms kHandBackAfterMs = 4000;     // ms; a home node must have been up so long
+constexpr Ms kFailbackAfterMs = 4000;     // ms; a home node must have been up so long
 constexpr Ms kBalanceEveryMs = 1000;      // ms; pace of the leader's advice on machines
 
-constexpr Ms kShedMs = 3000;     // ms; advice to let machines run empty, renewed while it holds
-constexpr Ms kPromiseMs = 3000;  // ms; a peer's promise not to claim; a fresh process waits
-                                 // it out, so it is short
-constexpr Ms kPromiseRequestEveryMs = 500;  // ms; several tries within one promise
-constexpr Ms kStateSilentMs = 1500;         // ms; without an answer so long, an outage is likely
-constexpr std::size_t kPromiseRequestsOpen = 16;  // questions whose sending time is kept
-constexpr Ms kFinalRetryMs = 1000;                // ms; pause before a final commit is tried again
+constexpr Ms kCordonMs = 3000;  // ms; advice to let machines run empty, renewed while it holds
+constexpr Ms kVoteMs = 3000;    // ms; a peer's promise not to claim; a fresh process waits
+                                // it out, so it is short
+constexpr Ms kVoteRequestEveryMs = 500;        // ms; several tries within one promise
+constexpr Ms kStateSilentMs = 1500;            // ms; without an answer so long, an outage is likely
+constexpr std::size_t kOpenVoteRequests = 16;  // questions whose sending time is kept
+constexpr Ms kFinalRetryMs = 1000;             // ms; pause before a final commit is tried again
 
 // --- workers ------------------------------------------------------------------------------
 constexpr Ms kDeferBusyMs = 400;        // ms; under the half second a worker waits between reports
 constexpr Ms kDeferIdleMs = 2500;       // ms; longest deferring of an idle machine, well under 4 s
 constexpr Ms kCommandTimeoutMs = 2000;  // ms; kills by /commands; the next report repeats them
 constexpr Ms kWorkerPatienceMs = 4000;  // ms; a worker drops an answer that takes longer; protocol
-constexpr Ms kHoldReportMs = 2000;      // ms; a report waits so long for a new owner: a takeover is
+constexpr Ms kHoldHeartbeatMs = 2000;   // ms; a report waits so long for a new owner: a takeover is
                                         // over by then, and the worker still waits
 constexpr int kInboundLossAnswers =
-    3;                           // answers in a row without a trace; one or two are lost by chance
-constexpr int kTermAnswers = 2;  // answers that tell a machine a term which it then does not show
+    3;  // answers in a row without a trace; one or two are lost by chance
+constexpr int kTokenAnnouncements =
+    2;                             // answers that tell a machine a term which it then does not show
 constexpr Ms kStarvedMs = 120000;  // ms; half of the four minutes in which every job should begin
 constexpr Ms kBegunMs = 35000;     // ms; a start stopped within 30 s of its running does not count
 constexpr int kUnhealthyErrors = 3;  // failures without a success before a machine is quarantined
@@ -63,14 +65,15 @@
 constexpr Ms kPackWaitMs = 1500;            // ms; an array waits so long for fuller machines
 constexpr Ms kPreemptAfterMs = 250;         // ms; several machines have reported by then
 constexpr Ms kReclaimMarginMs = 1000;       // ms; a guarantee is reclaimed so long before its aim
-constexpr double kGuaranteeS = 5;  // s; work within a guarantee starts by then, if no aim says else
+constexpr double kFairShareStartS =
+    5;  // s; work within a guarantee starts by then, if no aim says else
 constexpr Ms kReclaimSoonestMs = 500;  // ms; at once would stop work that ends by itself
 constexpr Ms kFetchWeight = 2;         // times the fetch; a job without its image is so much later
 constexpr std::size_t kImagesKnown = 4096;  // besides those of open jobs; far more than are cached
 constexpr Ms kReorderMs = 250;              // ms; how stale the order of the queue may be
 constexpr Ms kStartAllowanceMs = 3000;      // ms; from start to running, over the estimate
 constexpr Ms kUnboundedMs = 300000;         // ms; the latest start of a job without aim or deadline
-constexpr int kPatienceBounds = 4;          // times its last aim; a job that late goes first again
+constexpr int kPatienceTargets = 4;         // times its last aim; a job that late goes first again
 constexpr int kAttemptBits = 24;            // bits; attempts within one term, below the term's bits
 
 // --- state service ------------------------------------------------------------------------
@@ -78,15 +81,15 @@
 constexpr int kLeastTransaction = 2;    // changes; a job's final record and its record's deletion
 constexpr double kBudgetShare = 0.9;    // share of the rates used; the rest absorbs clock skew
 constexpr Ms kUseMs = 2000;             // ms; over which a node's use of the rates is averaged
-constexpr double kSpareShare = 0.5;     // of what the other nodes leave; they may need it again
+constexpr double kBorrowedShare = 0.5;  // of what the other nodes leave; they may need it again
 constexpr double kProgressKeep = 0.4;   // of a second's changes that progress leaves for the rest
-constexpr double kFollowShare = 0.33;   // of a node's requests that following may take
+constexpr double kWatchShare = 0.33;    // of a node's requests that following may take
 constexpr double kBatchShare = 0.4;     // of a second's changes, in one transaction at most
 constexpr Ms kOverLimitMs = 100;        // ms; pause after a refusal over the limit
 constexpr Ms kStateTimeoutMs = 1500;    // ms; answers mostly take 10, sometimes some hundred
-constexpr Ms kFollowWaitMs = 5000;      // ms; long poll; short enough to notice a hung link
-constexpr Ms kFollowSlackMs = 2500;     // ms; beyond the wait before a follow counts as hung
-constexpr Ms kFollowPauseMs = 100;      // ms; gathers changes, so a busy minute costs few requests
+constexpr Ms kWatchWaitMs = 5000;       // ms; long poll; short enough to notice a hung link
+constexpr Ms kWatchSlackMs = 2500;      // ms; beyond the wait before a follow counts as hung
+constexpr Ms kWatchPauseMs = 100;       // ms; gathers changes, so a busy minute costs few requests
 constexpr int kListPage = 500;          // items; half of the largest page
 constexpr int kCommitTries = 3;         // tries of a commit before its caller hears "unknown"
 constexpr Ms kRetryMs = 300;            // ms; pause before a state request is tried again
@@ -97,13 +100,14 @@
 constexpr std::size_t kProgressOverhead = 200;  // bytes of a value beside its bits
 constexpr std::size_t kRecordOverhead = 200;    // bytes of a value beside its list of jobs
 constexpr std::size_t kTransactionBytes =
-    50000;                               // of the protocol's 64 KiB; the rest is preconditions
-constexpr Ms kOrphanedPartsMs = 600000;  // ms; beyond any acceptance that may still be on its way
+    50000;                                // of the protocol's 64 KiB; the rest is preconditions
+constexpr Ms kOrphanedChunksMs = 600000;  // ms; beyond any acceptance that may still be on its way
 constexpr std::size_t kStatusWaiting = 20;       // waiting jobs that /status names
 constexpr std::size_t kStatusPrerequisites = 5;  // prerequisites it names of each
-constexpr std::uint32_t kDoneChunk = 32768;  // tasks; 4 KiB of bits, 5.5 KiB as base64, under 8 KiB
+constexpr std::uint32_t kProgressChunkTasks =
+    32768;                                   // tasks; 4 KiB of bits, 5.5 KiB as base64, under 8 KiB
 constexpr std::size_t kFinalCache = 20000;   // finished jobs remembered; older ones are read again
-constexpr std::size_t kClosedKept = 2000;    // jobs that ended, to be handed over with a promise;
+constexpr std::size_t kFinishedKept = 2000;  // jobs that ended, to be handed over with a promise;
                                              // minutes of a busy day, an owner is behind by seconds
 
 // --- upgrades -----------------------------------------------------------------------------
@@ -123,7 +127,7 @@
 constexpr std::size_t kBodyMax = 65536;       // bytes; protocol
 constexpr std::size_t kBodyReadMax = 131072;  // bytes; what is longer is not even read
 constexpr std::uint32_t kTasksMax = 100000;   // protocol
-constexpr Ms kMeshAskMs = 700;                // ms; a user waits 2 s for a poll, two tries fit
+constexpr Ms kPeerQueryTimeoutMs = 700;       // ms; a user waits 2 s for a poll, two tries fit
 constexpr Ms kOpenAnswerMs = 700;     // ms; what is older says nothing of an open job any more
 constexpr int kRetryAfterS = 1;       // s; told to users who are refused
 constexpr int kHeadersMax = 16384;    // bytes
@@ -136,13 +140,13 @@
 constexpr Ms kStatusTimeoutMs = 3000;    // ms; `eiderreel status` gives up
 
 // --- mesh ---------------------------------------------------------------------------------
-constexpr Ms kMeshRedialMs = 500;                 // ms
-constexpr Ms kMeshStuckMs = 4000;                 // ms; unsent bytes or a dial without progress
-constexpr Ms kMeshSilentMs = 10000;               // ms; peers speak every half second
-constexpr Ms kStatusEveryMs = 500;                // ms; peers' news of load, sent to all
-constexpr Ms kStatusStaleMs = 2500;               // ms; a peer silent so long is treated as gone
-constexpr std::size_t kMeshFrameMax = 1 << 20;    // bytes
-constexpr std::size_t kMeshBacklogMax = 1 << 20;  // bytes unsent before a link is dropped
+constexpr Ms kPeerRedialMs = 500;                    // ms
+constexpr Ms kPeerStuckMs = 4000;                    // ms; unsent bytes or a dial without progress
+constexpr Ms kPeerIdleTimeoutMs = 10000;             // ms; peers speak every half second
+constexpr Ms kStatusEveryMs = 500;                   // ms; peers' news of load, sent to all
+constexpr Ms kStatusStaleMs = 2500;                  // ms; a peer silent so long is treated as gone
+constexpr std::size_t kPeerFrameMaxBytes = 1 << 20;  // bytes
+constexpr std::size_t kPeerBacklogMaxBytes = 1 << 20;  // bytes unsent before a link is dropped
 
 // --- cloud --------------------------------------------------------------------------------
 constexpr int kOverLimit = 429;        // status of a request over the limit; nothing was done
@@ -152,29 +156,30 @@
 constexpr Ms kLeaderSettlesMs = 8000;  // ms; a new leader first hears of machines and needs
 constexpr double kServiceRoom = 1.5;   // times what services use; room for the next ones
 constexpr double kGiverWaits = 0.25;   // of the waiting work of the part in need: a giver's most
-constexpr double kShedShare = 0.75;    // of a part's free room that is given to one in need
+constexpr double kCordonShare = 0.75;  // of a part's free room that is given to one in need
 constexpr double kDrainAfterS =
-    70;                           // s; well under the 90 that a job may wait beside room elsewhere
-constexpr double kShedLeast = 8;  // CPUs; less waiting is not worth a move
-constexpr double kBaseShare = 0.5;           // share of machines dealt out by guarantees alone
-constexpr Ms kFleetEveryMs = 1000;           // ms
-constexpr Ms kUnplaceableAfterMs = 4000;     // ms; by then all machines that fit have reported
-constexpr std::size_t kUnplaceableMost = 8;  // jobs; told to the leader at once
-constexpr Ms kNeedLastsMs = 2000;            // ms; a lack of room must last before it is rented for
-constexpr Ms kIdleReturnMs = 10000;          // ms; an idle machine is soon missed nowhere
-constexpr Ms kIdleKeepMs = 180000;           // ms; the same where slack is short beside a boot
+    70;  // s; well under the 90 that a job may wait beside room elsewhere
+constexpr double kCordonLeastCpus = 8;         // CPUs; less waiting is not worth a move
+constexpr double kBaseShare = 0.5;             // share of machines dealt out by guarantees alone
+constexpr Ms kFleetEveryMs = 1000;             // ms
+constexpr Ms kUnschedulableAfterMs = 4000;     // ms; by then all machines that fit have reported
+constexpr std::size_t kUnschedulableMost = 8;  // jobs; told to the leader at once
+constexpr Ms kNeedLastsMs = 2000;         // ms; a lack of room must last before it is rented for
+constexpr Ms kIdleReturnMs = 10000;       // ms; an idle machine is soon missed nowhere
+constexpr Ms kIdleKeepMs = 180000;        // ms; the same where slack is short beside a boot
 constexpr double kCostSavingBoots = 1.2;  // times the boot time; slack above it allows cost saving
 constexpr double kPatience = 1.32;        // share of the slack that a queue may last
 constexpr double kWaitShare = 0.75;       // of a stated wait, taken as slack; the rest is for boots
 constexpr double kEvenMachines = 30.0;    // machines at which that share is half as long
 constexpr double kSlackWeight = 0.1;      // share of a new job in the usual slack
-constexpr Ms kSpareAfterMs = 4000;        // ms; room must be left over so long
-constexpr double kSpareRoom = 0.05;       // share of a part's CPUs that stays free beside the queue
-constexpr Ms kSpareNextMs = 500;          // ms; then one machine after the other
+constexpr Ms kConsolidateAfterMs = 4000;  // ms; room must be left over so long
+constexpr double kConsolidateSpareRoom =
+    0.05;                                 // share of a part's CPUs that stays free beside the queue
+constexpr Ms kConsolidateNextMs = 500;    // ms; then one machine after the other
 constexpr Ms kNoCapacityPauseMs = 15000;  // ms; before a refused type and zone is asked again
 constexpr double kStuckBoots = 4.0;       // times ready_s before a starting machine is returned
-constexpr int kRentMost = 50;             // machines in one request; the cloud's limit
-constexpr std::size_t kReturnMost = 100;  // machines in one return; the cloud's limit
+constexpr int kProvisionMost = 50;        // machines in one request; the cloud's limit
+constexpr std::size_t kTerminateMost = 100;  // machines in one return; the cloud's limit
 
 }  // namespace constants
 }  // namespace eiderreel
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -9,55 +9,56 @@
 
 namespace k = constants;
 
-Controller::Controller(Runtime& rt, const Settings& s)
-    : rt_(rt),
-      s_(s),
-      state_store_(rt, s),
-      owner_(rt, s, state_store_),
-      job_api_(rt, s, state_store_, owner_),
-      fleet_(rt, s, state_store_, owner_),
-      upgrades_(rt, s, state_store_, owner_) {}
+Controller::Controller(Runtime& runtime, const Settings& settings)
+    : runtime_(runtime),
+      settings_(settings),
+      state_store_(runtime, settings),
+      partition_leader_(runtime, settings, state_store_),
+      job_api_(runtime, settings, state_store_, partition_leader_),
+      fleet_(runtime, settings, state_store_, partition_leader_),
+      upgrades_(runtime, settings, state_store_, partition_leader_) {}
 
-void Controller::send(const std::string& node, const mesh::Body& body) {
-  rt_.send(node, mesh::encode({s_.node, body}));
+void Controller::send(const std::string& node, const peer_rpc::Body& body) {
+  runtime_.send(node, peer_rpc::encode({settings_.node, body}));
 }
 
-void Controller::broadcast(const mesh::Body& body) {
-  const std::string bytes = mesh::encode({s_.node, body});
-  for (const auto& p : s_.peers) rt_.send(p.name, bytes);
+void Controller::broadcast(const peer_rpc::Body& body) {
+  const std::string bytes = peer_rpc::encode({settings_.node, body});
+  for (const auto& p : settings_.peers) runtime_.send(p.name, bytes);
 }
 
 void Controller::start() {
-  owner_.start({[this](const Report& r, Reply reply) { fleet_.assign(r, std::move(reply)); },
-                [this](const mesh::Body& b) { broadcast(b); }});
-  job_api_.start({[this](const std::string& node, const mesh::Ask& a) { send(node, a); }});
+  partition_leader_.start(
+      {[this](const Heartbeat& r, Reply reply) { fleet_.assign(r, std::move(reply)); },
+       [this](const peer_rpc::Body& b) { broadcast(b); }});
+  job_api_.start({[this](const std::string& node, const peer_rpc::JobQuery& a) { send(node, a); }});
   fleet_.start({[this](const std::vector<MachineType>& types) {
-                  owner_.types_known(types);
+                  partition_leader_.types_known(types);
                   job_api_.types_known(types);
                 },
-                [this](const std::string& node, const mesh::Body& b) { send(node, b); },
+                [this](const std::string& node, const peer_rpc::Body& b) { send(node, b); },
                 [this](const std::vector<std::string>& ids) {
-                  owner_.machines_gone(ids);
-                  broadcast(mesh::Gone{ids});
+                  partition_leader_.machines_terminated(ids);
+                  broadcast(peer_rpc::MachinesTerminated{ids});
                 }});
-  state_store_.start({[this](const std::string& id) { owner_.job_opened(id); },
-                      [this](const std::string& id) { owner_.job_ready(id); },
-                      [this](const std::string& id) { owner_.job_closed(id); },
-                      [this](const std::string& id) { owner_.urgency_changed(id); },
-                      [this](const std::string& id) { owner_.machine_changed(id); },
-                      [this](int part) { owner_.part_changed(part); }},
-                     [this] { owner_.grant_lost(); });
+  state_store_.start({[this](const std::string& id) { partition_leader_.job_opened(id); },
+                      [this](const std::string& id) { partition_leader_.job_ready(id); },
+                      [this](const std::string& id) { partition_leader_.job_closed(id); },
+                      [this](const std::string& id) { partition_leader_.urgency_changed(id); },
+                      [this](const std::string& id) { partition_leader_.machine_changed(id); },
+                      [this](int partition) { partition_leader_.partition_changed(partition); }},
+                     [this] { partition_leader_.lease_lost(); });
 }
 
 void Controller::tick() {
   state_store_.tick();
-  owner_.tick();
+  partition_leader_.tick();
   fleet_.tick();
   upgrades_.tick();
 }
 
 void Controller::frame(const std::string& bytes) {
-  auto m = mesh::decode(bytes);
+  auto m = peer_rpc::decode(bytes);
   if (!m) {
     spdlog::warn("mesh frame malformed bytes={}", bytes.size());
     return;
@@ -65,18 +66,25 @@
   struct Visitor {
     Controller& n;
     const std::string& from;
-    void operator()(const mesh::Ask& a) {
-      n.owner_.ask(a, [node = &n, from = from, number = a.number](int status, std::string body) {
-        node->send(from, mesh::Answer{number, status, std::move(body)});
-      });
+    void operator()(const peer_rpc::JobQuery& a) {
+      n.partition_leader_.query_job(
+          a, [node = &n, from = from, number = a.number](int status, std::string body) {
+            node->send(from, peer_rpc::JobQueryReply{number, status, std::move(body)});
+          });
     }
-    void operator()(const mesh::Answer& a) { n.job_api_.peer_answer(a); }
-    void operator()(const mesh::Status& s) { n.owner_.peer_status(from, s); }
-    void operator()(const mesh::Move& mv) { n.owner_.move(mv); }
-    void operator()(const mesh::Shed& sh) { n.owner_.shed(sh); }
-    void operator()(const mesh::Gone& g) { n.owner_.machines_gone(g.machines); }
-    void operator()(const mesh::PromiseRequest& a) { n.send(from, n.owner_.give_promise(from, a)); }
-    void operator()(const mesh::Promise& p) { n.owner_.take_promise(from, p); }
+    void operator()(const peer_rpc::JobQueryReply& a) { n.job_api_.on_query_reply(a); }
+    void operator()(const peer_rpc::PeerStatus& s) { n.partition_leader_.peer_status(from, s); }
+    void operator()(const peer_rpc::TransferRequest& mv) {
+      n.partition_leader_.transfer_machines(mv);
+    }
+    void operator()(const peer_rpc::CordonRequest& sh) { n.partition_leader_.cordon(sh); }
+    void operator()(const peer_rpc::MachinesTerminated& g) {
+      n.partition_leader_.machines_terminated(g.machines);
+    }
+    void operator()(const peer_rpc::VoteRequest& a) {
+      n.send(from, n.partition_leader_.vote_on(from, a));
+    }
+    void operator()(const peer_rpc::Vote& p) { n.partition_leader_.receive_vote(from, p); }
   };
   std::visit(Visitor{*this, m->from}, m->body);
 }
@@ -91,9 +99,9 @@
   };
   if (path == "/v1/report") {
     if (!only("POST")) return;
-    auto r = codec::parse_report(body);
+    auto r = codec::parse_heartbeat(body);
     if (!r) return reply(400, codec::error_body("malformed report"));
-    return owner_.report(*r, std::move(reply));
+    return partition_leader_.heartbeat(*r, std::move(reply));
   }
   if (path == "/ready") {
     if (!only("GET")) return;
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -12,7 +12,7 @@
 
 class Controller {
  public:
-  Controller(Runtime& rt, const Settings& s);
+  Controller(Runtime& runtime, const Settings& settings);
   void start();
   void tick();  // every kTickMs
 
@@ -22,22 +22,22 @@
   // A frame from a peer.
   void frame(const std::string& bytes);
 
-  const Settings& settings() const { return s_; }
+  const Settings& settings() const { return settings_; }
   const StateStoreClient& state_store() const { return state_store_; }
-  const Owner& owner() const { return owner_; }
+  const PartitionLeader& partition_leader() const { return partition_leader_; }
   const JobApi& job_api() const { return job_api_; }
-  const Fleet& fleet() const { return fleet_; }
+  const FleetManager& fleet() const { return fleet_; }
 
  private:
-  void send(const std::string& node, const mesh::Body& body);
-  void broadcast(const mesh::Body& body);
+  void send(const std::string& node, const peer_rpc::Body& body);
+  void broadcast(const peer_rpc::Body& body);
 
-  Runtime& rt_;
-  const Settings& s_;
+  Runtime& runtime_;
+  const Settings& settings_;
   StateStoreClient state_store_;
-  Owner owner_;
+  PartitionLeader partition_leader_;
   JobApi job_api_;
-  Fleet fleet_;
+  FleetManager fleet_;
   upgrade::Coordinator upgrades_;
 };
 
--- a/src/controller/metrics.cc
+++ b/src/controller/metrics.cc
@@ -54,7 +54,7 @@
   t.type("acting_version", "gauge", "cluster version that this node acts under, 0: none");
   const bool acts = state_store.acting_version().record_revision() != 0;
   t.value("acting_version", "", acts ? upgrade::number(state_store.acting_version().version()) : 0);
-  const auto conversion = controller.owner().conversion().value_or(ConversionProgress{});
+  const auto conversion = controller.partition_leader().conversion().value_or(ConversionProgress{});
   t.type("progress_values_left", "gauge", "values still to be converted, of parts owned here");
   t.value("progress_values_left", "", conversion.values_left);
   t.type("progress_values_converted_total", "counter", "values converted by this process");
@@ -64,7 +64,7 @@
 }
 
 // The first few jobs that wait for others, and what for.
-void put_waiting(rapidjson::Writer<rapidjson::StringBuffer>& w, const View& v) {
+void put_waiting(rapidjson::Writer<rapidjson::StringBuffer>& w, const ClusterView& v) {
   w.Key("waiting");
   w.StartArray();
   for (const auto& id : v.dependencies.waiting(k::kStatusWaiting)) {
@@ -85,16 +85,16 @@
 
 }  // namespace
 
-Latency::Latency()
+LatencyHistogram::LatencyHistogram()
     : histogram_(boost::histogram::make_histogram(
           Axis(k::kLatencyBuckets, k::kLatencyLowMs, k::kLatencyHighMs))) {}
 
-void Latency::add(Ms ms) {
+void LatencyHistogram::add(Ms ms) {
   histogram_(static_cast<double>(std::max<Ms>(ms, 1)));
   sum_ms_ += static_cast<double>(ms);
 }
 
-std::string Latency::text(const std::string& name, const std::string& labels) const {
+std::string LatencyHistogram::text(const std::string& name, const std::string& labels) const {
   std::string out;
   double seen = histogram_.at(-1);
   const auto& axis = histogram_.axis(0);
@@ -113,7 +113,7 @@
 
 std::string metrics_text(const Controller& controller) {
   Text t;
-  const View& v = controller.state_store().view();
+  const ClusterView& v = controller.state_store().view();
   t.type("ready", "gauge", "1 when this node serves users");
   t.value("ready", "", controller.job_api().ready() ? 1 : 0);
   if (controller.settings().upgrade.enabled) put_version(t, controller);
@@ -129,23 +129,23 @@
   t.type("machines", "gauge", "machines assigned to a part, of all parts");
   t.value("machines", "", v.machines.size());
   t.type("part_term", "gauge", "term of each part owned here");
-  for (const auto& [part, p] : controller.owner().parts())
-    t.value("part_term", fmt::format("part=\"{}\"", part), p->term());
+  for (const auto& [partition, p] : controller.partition_leader().partitions())
+    t.value("part_term", fmt::format("part=\"{}\"", partition), p->fencing_token());
   t.type("part_jobs", "gauge", "open jobs of each part owned here, by phase");
-  for (const auto& [part, p] : controller.owner().parts()) {
-    const auto c = p->count();
-    t.value("part_jobs", fmt::format("part=\"{}\",phase=\"queued\"", part), c.jobs_queued);
-    t.value("part_jobs", fmt::format("part=\"{}\",phase=\"running\"", part), c.jobs_running);
+  for (const auto& [partition, p] : controller.partition_leader().partitions()) {
+    const auto c = p->task_counts();
+    t.value("part_jobs", fmt::format("part=\"{}\",phase=\"queued\"", partition), c.jobs_queued);
+    t.value("part_jobs", fmt::format("part=\"{}\",phase=\"running\"", partition), c.jobs_running);
   }
   t.type("part_tasks", "gauge", "tasks of open jobs of each part owned here, by state");
-  for (const auto& [part, p] : controller.owner().parts()) {
-    const auto c = p->count();
-    t.value("part_tasks", fmt::format("part=\"{}\",state=\"queued\"", part), c.queued);
-    t.value("part_tasks", fmt::format("part=\"{}\",state=\"bound\"", part), c.bound);
-    t.value("part_tasks", fmt::format("part=\"{}\",state=\"running\"", part), c.running);
-    t.value("part_tasks", fmt::format("part=\"{}\",state=\"done\"", part), c.done);
+  for (const auto& [partition, p] : controller.partition_leader().partitions()) {
+    const auto c = p->task_counts();
+    t.value("part_tasks", fmt::format("part=\"{}\",state=\"queued\"", partition), c.queued);
+    t.value("part_tasks", fmt::format("part=\"{}\",state=\"bound\"", partition), c.bound);
+    t.value("part_tasks", fmt::format("part=\"{}\",state=\"running\"", partition), c.running);
+    t.value("part_tasks", fmt::format("part=\"{}\",state=\"done\"", partition), c.done);
   }
-  const auto& o = controller.owner().counters();
+  const auto& o = controller.partition_leader().counters();
   auto counter = [&](const char* name, const char* help, std::uint64_t n) {
     t.type(name, "counter", help);
     t.value(name, "", n);
@@ -153,14 +153,15 @@
   counter("starts_total", "starts sent in answers to reports", o.starts);
   counter("preemptions_total", "tasks stopped to make room", o.preemptions);
   counter("takeovers_total", "parts claimed", o.claims);
-  counter("hand_backs_total", "parts handed back", o.handed_back);
+  counter("hand_backs_total", "parts handed back", o.failbacks);
   counter("reports_total", "reports received", o.reports);
-  counter("stale_reports_total", "reports late, repeated or under a higher term", o.stale_reports);
+  counter("stale_reports_total", "reports late, repeated or under a higher term",
+          o.stale_heartbeats);
   counter("deferred_reports_total", "reports that waited for work", o.deferred);
-  counter("leases_over_total", "machines given up by their lease", o.leases_over);
+  counter("leases_over_total", "machines given up by their lease", o.lease_expiries);
   const auto& f = controller.fleet().counters();
-  counter("rented_total", "machines rented", controller.fleet().rental().rented_count());
-  counter("returned_total", "machines returned", f.returned);
+  counter("rented_total", "machines rented", controller.fleet().provisioner().provisioned_count());
+  counter("returned_total", "machines returned", f.terminated);
   t.by_status("state_requests_total", "requests to the state service by status, 0: no answer",
               controller.state_store().counters().replies);
   counter("state_refused_here_total", "requests over our own share of the state service's limits",
@@ -184,7 +185,7 @@
 std::string status_json(const Controller& controller) {
   rapidjson::StringBuffer b;
   rapidjson::Writer<rapidjson::StringBuffer> w(b);
-  const View& v = controller.state_store().view();
+  const ClusterView& v = controller.state_store().view();
   auto number = [&](const char* key, double n) {
     w.Key(key);
     w.Double(n);
@@ -200,7 +201,7 @@
   w.Bool(controller.job_api().ready());
   if (controller.settings().upgrade.enabled) {
     w.Key("stands_aside");
-    w.String(controller.state_store().stands_aside().c_str());
+    w.String(controller.state_store().standby_reason().c_str());
   }
   count("open_jobs", v.jobs.size());
   count("waiting_jobs", static_cast<std::uint64_t>(v.dependencies.waiting_count()));
@@ -208,23 +209,23 @@
   count("resident_bytes", resident_bytes());
   w.Key("parts");
   w.StartArray();
-  const auto needs = controller.owner().needs();
-  const auto own = controller.owner().parts();
-  for (int part = 0; part < controller.settings().parts; ++part) {
+  const auto partition_loads = controller.partition_leader().partition_loads();
+  const auto own = controller.partition_leader().partitions();
+  for (int partition = 0; partition < controller.settings().partition_count; ++partition) {
     w.StartObject();
-    count("part", static_cast<std::uint64_t>(part));
-    auto entry = v.parts.find(part);
+    count("part", static_cast<std::uint64_t>(partition));
+    auto entry = v.partitions.find(partition);
     w.Key("owner");
-    w.String(entry == v.parts.end() ? "" : entry->second.owner.c_str());
-    count("term", entry == v.parts.end() ? 0 : entry->second.revision);
-    if (auto n = needs.find(part); n != needs.end()) {
+    w.String(entry == v.partitions.end() ? "" : entry->second.leader.c_str());
+    count("term", entry == v.partitions.end() ? 0 : entry->second.revision);
+    if (auto n = partition_loads.find(partition); n != partition_loads.end()) {
       number("waiting_cpus", n->second.waiting_cpus);
       number("used_cpus", n->second.used_cpus);
       number("total_cpus", n->second.total_cpus);
       count("idle_machines", n->second.idle_machines);
     }
-    if (auto p = own.find(part); p != own.end()) {
-      const auto c = p->second->count();
+    if (auto p = own.find(partition); p != own.end()) {
+      const auto c = p->second->task_counts();
       count("jobs", c.jobs_queued + c.jobs_running);
       count("queued_tasks", c.queued);
       count("running_tasks", c.running);
--- a/src/controller/metrics.h
+++ b/src/controller/metrics.h
@@ -10,9 +10,9 @@
 class Controller;
 
 // Latencies of one kind, in milliseconds; buckets grow by a factor.
-class Latency {
+class LatencyHistogram {
  public:
-  Latency();
+  LatencyHistogram();
   void add(Ms ms);
   // Prometheus lines of a histogram in seconds.
   std::string text(const std::string& name, const std::string& labels) const;
--- a/src/fleet/fleet_manager.cc
+++ b/src/fleet/fleet_manager.cc
@@ -9,150 +9,154 @@
 
 namespace k = constants;
 
-Fleet::Fleet(Runtime& rt, const Settings& s, StateStoreClient& state_store, Owner& owner)
-    : rt_(rt),
-      s_(s),
+FleetManager::FleetManager(Runtime& runtime, const Settings& settings,
+                           StateStoreClient& state_store, PartitionLeader& partition_leader)
+    : runtime_(runtime),
+      settings_(settings),
       state_store_(state_store),
-      owner_(owner),
-      cloud_(rt, s),
-      assigner_(s, state_store, owner),
-      rental_(rt, s, state_store, cloud_) {}
+      partition_leader_(partition_leader),
+      cloud_(runtime, settings),
+      assigner_(settings, state_store, partition_leader),
+      provisioner_(runtime, settings, state_store, cloud_) {}
 
-void Fleet::start(Hooks hooks) {
+void FleetManager::start(Hooks hooks) {
   hooks_ = std::move(hooks);
   cloud_.start();
-  assigner_.start([this](const std::string& machine) { rental_.forget(machine); });
+  assigner_.start([this](const std::string& machine) { provisioner_.forget(machine); });
   get_catalog();
 }
 
-void Fleet::get_catalog() {
+void FleetManager::get_catalog() {
   catalog_asked_ = true;
   cloud_.call({"", "GET", "/catalog", "", 0}, [this](HttpReply r) {
     catalog_asked_ = false;
-    catalog_at_ = rt_.now();
+    catalog_at_ = runtime_.now();
     auto types = r.status == 200 ? codec::parse_catalog(r.body) : std::nullopt;
     if (!types) return;
     types_ = *types;
     assigner_.types_known(types_);
-    rental_.types_known(types_);
+    provisioner_.types_known(types_);
     hooks_.types_known(types_);
   });
 }
 
 // --------------------------------------------------------------------------- assignment
 
-void Fleet::assign(const Report& r, Reply reply) {
+void FleetManager::assign(const Heartbeat& r, Reply reply) {
   // Guard: a late copy of a report is no reason to assign a machine that is gone.
-  if (types_.empty() || gone_.count(r.machine)) return reply(503, "");
+  if (types_.empty() || terminated_.count(r.machine)) return reply(503, "");
   assigner_.add(r, std::move(reply));
 }
 
 // ------------------------------------------------------------------------------ balance
 
-void Fleet::advise(int from, int to, double cpus, bool spot) {
-  auto p = state_store_.view().parts.find(from);
-  if (p == state_store_.view().parts.end()) return;
+void FleetManager::advise_transfer(int from, int to, double cpus, bool spot) {
+  auto p = state_store_.view().partitions.find(from);
+  if (p == state_store_.view().partitions.end()) return;
   ++counters_.moves;
-  const mesh::Move move{from, to, cpus, spot};
-  if (p->second.owner == s_.node)
-    owner_.move(move);
+  const peer_rpc::TransferRequest move{from, to, cpus, spot};
+  if (p->second.leader == settings_.node)
+    partition_leader_.transfer_machines(move);
   else
-    hooks_.send(p->second.owner, move);
+    hooks_.send(p->second.leader, move);
 }
 
 // Idle machines move from parts where nothing waits to the part in need.
-void Fleet::balance() {
-  auto needs = owner_.needs();
+void FleetManager::rebalance() {
+  auto partition_loads = partition_leader_.partition_loads();
   double largest = 0;
   for (const auto& t : types_) largest = std::max(largest, t.cpus);
-  for (auto& [to, need] : needs) {
-    double want = need.waiting_cpus;
-    for (auto& [from, other] : needs) {
-      if (from == to || other.waiting_cpus > need.waiting_cpus * k::kGiverWaits) continue;
+  for (auto& [to, load] : partition_loads) {
+    double want = load.waiting_cpus;
+    for (auto& [from, other] : partition_loads) {
+      if (from == to || other.waiting_cpus > load.waiting_cpus * k::kGiverWaits) continue;
       for (bool spot : {true, false}) {
         double& idle = spot ? other.idle_spot_cpus : other.idle_cpus;
-        const double most = spot ? std::min(want, need.waiting_spot_cpus) : want;
+        const double most = spot ? std::min(want, load.waiting_spot_cpus) : want;
         if (most <= 0 || idle <= 0) continue;
         const double give = std::min(idle, std::max(most, largest));
-        advise(from, to, give, spot);
+        advise_transfer(from, to, give, spot);
         idle -= give;
         want -= give;
       }
     }
   }
-  raise_to_base(needs, largest);
-  drain_one(needs);
+  raise_to_fair_share(partition_loads, largest);
+  drain_one_machine(partition_loads);
   // A part with free room but no idle machine lets some run empty for the one that waits most.
-  for (auto& [to, need] : needs) {
-    double want = need.waiting_cpus;
-    for (auto& [from, other] : needs) {
-      if (from == to || want < k::kShedLeast ||
-          other.waiting_cpus > need.waiting_cpus * k::kGiverWaits)
+  for (auto& [to, load] : partition_loads) {
+    double want = load.waiting_cpus;
+    for (auto& [from, other] : partition_loads) {
+      if (from == to || want < k::kCordonLeastCpus ||
+          other.waiting_cpus > load.waiting_cpus * k::kGiverWaits)
         continue;
-      const double give = std::min(want, (other.total_cpus - other.used_cpus) * k::kShedShare);
-      if (give < k::kShedLeast) continue;
+      const double give = std::min(want, (other.total_cpus - other.used_cpus) * k::kCordonShare);
+      if (give < k::kCordonLeastCpus) continue;
       want -= give;
       other.used_cpus += give;
-      shed(from, give, false);
+      advise_cordon(from, give, false);
     }
   }
 }
 
 // Guard: a job must not wait beside room that services of other parts keep from running empty. One
 // machine at a time: to move services costs what users notice.
-void Fleet::drain_one(const std::map<int, PartNeed>& needs) {
+void FleetManager::drain_one_machine(const std::map<int, PartitionLoad>& partition_loads) {
   double smallest = types_.front().cpus;
   for (const auto& t : types_) smallest = std::min(smallest, t.cpus);
-  for (const auto& [to, need] : needs) {
-    if (need.waited_s < k::kDrainAfterS) continue;
-    for (const auto& [from, other] : needs)
+  for (const auto& [to, load] : partition_loads) {
+    if (load.waited_s < k::kDrainAfterS) continue;
+    for (const auto& [from, other] : partition_loads)
       if (from != to && other.waiting_cpus <= 0 && other.total_cpus - other.used_cpus >= smallest)
-        return shed(from, smallest, true);
+        return advise_cordon(from, smallest, true);
   }
 }
 
-void Fleet::shed(int from, double cpus, bool drain) {
-  auto p = state_store_.view().parts.find(from);
-  if (p == state_store_.view().parts.end()) return;
-  if (p->second.owner == s_.node)
-    owner_.shed({from, cpus, drain});
+void FleetManager::advise_cordon(int from, double cpus, bool drain) {
+  auto p = state_store_.view().partitions.find(from);
+  if (p == state_store_.view().partitions.end()) return;
+  if (p->second.leader == settings_.node)
+    partition_leader_.cordon({from, cpus, drain});
   else
-    hooks_.send(p->second.owner, mesh::Shed{from, cpus, drain});
+    hooks_.send(p->second.leader, peer_rpc::CordonRequest{from, cpus, drain});
 }
 
 // Guard: a part that has given its idle machines away is bare when its own work comes; while all
 // others have work waiting too, nobody gave it any, and it starved for ever. Below its base by the
 // guarantees it gets machines from the part that is furthest above its own.
-void Fleet::raise_to_base(const std::map<int, PartNeed>& needs, double largest) {
-  if (static_cast<int>(needs.size()) < s_.parts) return;
+void FleetManager::raise_to_fair_share(const std::map<int, PartitionLoad>& partition_loads,
+                                       double largest) {
+  if (static_cast<int>(partition_loads.size()) < settings_.partition_count) return;
   double cpus = 0, weights = 0;
-  for (const auto& [p, n] : needs) {
+  for (const auto& [p, n] : partition_loads) {
     cpus += n.total_cpus;
-    weights += guaranteed_cpus(s_, p);
+    weights += fair_share_cpus_of(settings_, p);
   }
   auto above = [&](int p) {
-    return needs.at(p).total_cpus - k::kBaseShare * cpus * guaranteed_cpus(s_, p) / weights;
+    return partition_loads.at(p).total_cpus -
+           k::kBaseShare * cpus * fair_share_cpus_of(settings_, p) / weights;
   };
-  for (const auto& [to, need] : needs) {
-    if (need.waiting_cpus <= 0 || above(to) >= 0) continue;
+  for (const auto& [to, load] : partition_loads) {
+    if (load.waiting_cpus <= 0 || above(to) >= 0) continue;
     int from = to;
-    for (const auto& [p, n] : needs)
+    for (const auto& [p, n] : partition_loads)
       if (above(p) > above(from)) from = p;
     const double give = std::max(-above(to), largest);
     if (above(from) < give) continue;
-    shed(from, give, false);
-    advise(from, to, give, false);
+    advise_cordon(from, give, false);
+    advise_transfer(from, to, give, false);
   }
 }
 
 // ------------------------------------------------------------------------- rent and return
 
-void Fleet::scale() {
-  const Ms now = rt_.now();
-  const auto needs = owner_.needs();
-  if (static_cast<int>(needs.size()) < s_.parts) return;  // without news nothing is concluded
-  PartNeed all;
-  for (const auto& [p, n] : needs) {
+void FleetManager::scale_out_and_in() {
+  const Ms now = runtime_.now();
+  const auto partition_loads = partition_leader_.partition_loads();
+  if (static_cast<int>(partition_loads.size()) < settings_.partition_count)
+    return;  // without news nothing is concluded
+  PartitionLoad all;
+  for (const auto& [p, n] : partition_loads) {
     all.waiting_cpus += n.waiting_cpus;
     all.waiting_spot_cpus += n.waiting_spot_cpus;
     all.waiting_service_cpus += n.waiting_service_cpus;
@@ -169,24 +173,25 @@
         n.waiting_cpus, n.used_cpus, n.used_service_cpus, n.total_cpus, n.idle_machines);
   }
   double coming_cpus = 0, coming_spot = 0, boot = 0;
-  std::vector<Coming> on_their_way = coming();
-  for (const Coming& m : on_their_way) {
+  std::vector<PendingMachine> on_their_way = pending_machines();
+  for (const PendingMachine& m : on_their_way) {
     coming_cpus += m.type->cpus;
     if (m.spot) coming_spot += m.type->cpus;
   }
   // Guard: jobs bound to a zone whose machines were lost waited for ever while idle ones elsewhere
   // made up for them in the sums.
-  for (const auto& [p, n] : needs)
-    for (const auto& [id, cpus] : n.unplaceable) {
+  for (const auto& [p, n] : partition_loads)
+    for (const auto& [id, cpus] : n.unschedulable) {
       auto j = state_store_.view().jobs.find(id);
       if (j == state_store_.view().jobs.end()) continue;
-      double unplaceable = cpus;
-      std::erase_if(on_their_way, [&](const Coming& m) {
-        if (unplaceable <= 0 || !allowed(j->second.spec, *m.type, m.zone, m.spot)) return false;
-        unplaceable -= m.type->cpus;
+      double unschedulable = cpus;
+      std::erase_if(on_their_way, [&](const PendingMachine& m) {
+        if (unschedulable <= 0 || !may_host(j->second.spec, *m.type, m.zone, m.spot)) return false;
+        unschedulable -= m.type->cpus;
         return true;
       });
-      if (unplaceable > 0) coming_cpus += rental_.rent_for(j->second.spec, unplaceable);
+      if (unschedulable > 0)
+        coming_cpus += provisioner_.provision_for(j->second.spec, unschedulable);
     }
   for (const auto& t : types_) boot = std::max(boot, t.boot_s);
   // Where the usual slack before a deadline is long beside a boot time, cost saving costs little:
@@ -195,7 +200,7 @@
   // nothing. Elsewhere all that waits is rented for.
   const bool saves_cost = all.slack_s >= k::kCostSavingBoots * boot;
   // A small fleet evens out less, so its queue is given less time.
-  const double machines = static_cast<double>(known_.size());
+  const double machines = static_cast<double>(listed_machines_.size());
   const double patience = k::kPatience * machines / (machines + k::kEvenMachines);
   // Where arrays should start within a stated time, machines must be up well before it.
   const double queue_s =
@@ -222,94 +227,94 @@
                                           all.waiting_spot_cpus - all.spot_cpus - coming_spot
                                     : 0;
   if (lasts || cheaper > 0)
-    rental_.rent_cheapest(lasts ? lack : 0,
-                          std::max(cheaper, all.waiting_spot_cpus > coming_cpus ? lack : 0.0));
+    provisioner_.provision_cheapest(
+        lasts ? lack : 0, std::max(cheaper, all.waiting_spot_cpus > coming_cpus ? lack : 0.0));
   // Machines idle for long are released while nothing waits, ordinary ones first: they are dearer.
   // Guard: spot ones that dearer machines do the work of would be rented again at once.
   double surplus = all.idle_cpus - all.waiting_cpus;
   for (bool spot : {false, true}) {
     if (spot && saves_cost) surplus = std::min(surplus, -cheaper);
-    for (const auto& [p, n] : needs) {
-      const double go = std::min(surplus, spot ? n.rested_spot_cpus : n.rested_cpus);
+    for (const auto& [p, n] : partition_loads) {
+      const double go = std::min(surplus, spot ? n.releasable_spot_cpus : n.releasable_cpus);
       if (go <= 0) continue;
-      advise(p, -1, go, spot);
+      advise_transfer(p, -1, go, spot);
       surplus -= go;
     }
   }
 }
 
-std::vector<Fleet::Coming> Fleet::coming() const {
-  std::vector<Coming> out;
-  for (const auto& [id, r] : rental_.rented())
+std::vector<FleetManager::PendingMachine> FleetManager::pending_machines() const {
+  std::vector<PendingMachine> out;
+  for (const auto& [id, r] : provisioner_.provisioned())
     if (const MachineType* t = find_type(types_, r.type)) out.push_back({t, r.zone, r.spot});
   // Guard: at a start of the whole service hundreds of machines are up that no part has yet.
-  for (const auto& [id, m] : known_)
-    if (m.listed.phase != "failed" && !rental_.rented().count(id) &&
+  for (const auto& [id, m] : listed_machines_)
+    if (m.listed.phase != "failed" && !provisioner_.provisioned().count(id) &&
         !state_store_.view().machines.count(id))
       if (const MachineType* t = find_type(types_, m.listed.type))
         out.push_back({t, m.listed.zone, m.listed.spot});
   return out;
 }
 
-void Fleet::list(const std::string& since) {
+void FleetManager::list_machines(const std::string& since) {
   listing_ = true;
   std::string path = "/machines?page=" + std::to_string(k::kListPage);
   if (!since.empty()) path += "&since=" + since;
   if (since.empty()) {
     in_list_.clear();
-    list_sent_ = rt_.now();
+    list_sent_ = runtime_.now();
   }
   cloud_.call({"", "GET", path, "", 0}, [this, since](HttpReply r) {
     // Guard: a list of more pages than a moment's rate allows began anew for ever, and was never
     // read to its end.
-    if (r.status == k::kOverLimit && !since.empty() && owner_.leading()) {
-      rt_.after(k::kRetryMs, [this, since] { list(since); });
+    if (r.status == k::kOverLimit && !since.empty() && partition_leader_.is_cluster_leader()) {
+      runtime_.after(k::kRetryMs, [this, since] { list_machines(since); });
       return;
     }
     auto page = r.status == 200 ? codec::parse_machines(r.body) : std::nullopt;
     if (!page) {
       listing_ = false;
-      listed_at_ = rt_.now();
+      listed_at_ = runtime_.now();
       return;
     }
-    const Ms now = rt_.now();
+    const Ms now = runtime_.now();
     for (const auto& m : page->machines) {
       in_list_.insert(m.id);
-      auto& e = known_[m.id];
+      auto& e = listed_machines_[m.id];
       e.last_seen = now;
       e.listed = m;
     }
     if (page->more && !page->machines.empty()) {
-      list(page->machines.back().id);
+      list_machines(page->machines.back().id);
       return;
     }
     listing_ = false;
     listed_at_ = now;
-    listed_all();
+    on_list_complete();
   });
 }
 
-void Fleet::listed_all() {
-  const Ms now = rt_.now();
-  const View& v = state_store_.view();
-  const Ms lag = static_cast<Ms>(s_.list_lag_s * 2000 * (1 + k::kDrift));
-  std::vector<std::string> gone;
+void FleetManager::on_list_complete() {
+  const Ms now = runtime_.now();
+  const ClusterView& v = state_store_.view();
+  const Ms lag = static_cast<Ms>(settings_.list_lag_s * 2000 * (1 + k::kDrift));
+  std::vector<std::string> terminated;
   // Guard: a key may stand for a machine that was gone before we led, and that a late copy of a
   // report brought back. It is known from now on, and forgotten when lists go on without it.
   for (const auto& [id, m] : v.machines)
-    if (auto [e, fresh] = known_.try_emplace(id); fresh) {
+    if (auto [e, fresh] = listed_machines_.try_emplace(id); fresh) {
       e->second.last_seen = now;
       e->second.listed = {id, m.record.addr, m.record.type, m.record.zone, "", m.record.spot, 0};
     }
-  for (auto it = known_.begin(); it != known_.end();) {
+  for (auto it = listed_machines_.begin(); it != listed_machines_.end();) {
     const std::string id = it->first;
-    const Known& e = it->second;
+    const ListedMachineEntry& e = it->second;
     // Once listed a machine stays listed until it is gone. This list describes a moment not
     // earlier than `lag` before it was asked for, so it is newer than the last that had it.
     if (!in_list_.count(id) && list_sent_ - lag > e.last_seen) {
-      gone.push_back(id);
-      rental_.forget(id);
-      it = known_.erase(it);
+      terminated.push_back(id);
+      provisioner_.forget(id);
+      it = listed_machines_.erase(it);
       continue;
     }
     const MachineType* t = find_type(types_, e.listed.type);
@@ -320,112 +325,112 @@
       codec::MachineRecord record{-1, e.listed.type, e.listed.zone, e.listed.addr, e.listed.spot};
       if (m == v.machines.end())
         release(id, record, 0);
-      else if (m->second.record.part >= 0 && e.listed.phase == "failed")
+      else if (m->second.record.partition >= 0 && e.listed.phase == "failed")
         release(id, record, m->second.revision);
     }
     ++it;
   }
-  forget(gone);
+  forget(terminated);
   std::set<std::string> listed;
-  for (const auto& [id, e] : known_) listed.insert(id);
-  rental_.drop_lost(listed, 4 * lag);
+  for (const auto& [id, e] : listed_machines_) listed.insert(id);
+  provisioner_.drop_lost(listed, 4 * lag);
 }
 
 // Invariant 10: released durably first. A machine that stopped by itself holds nothing that
 // could run, so its owner need not be asked; one that never came up has no owner.
-void Fleet::release(const std::string& id, const codec::MachineRecord& record,
-                    std::uint64_t revision) {
+void FleetManager::release(const std::string& id, const codec::MachineRecord& record,
+                           std::uint64_t revision) {
   if (!changing_.insert(id).second) return;
-  Commit c;
-  c.pace = Pace::fleet;
+  CompareAndSwap c;
+  c.request_priority = RequestPriority::fleet;
   c.nonce = state_store_.nonce();
   c.preconditions = {{codec::machine_key(id), revision}};
   codec::MachineRecord released = record;
-  released.part = -1;
+  released.partition = -1;
   c.writes = {{codec::machine_key(id), codec::encode(released, c.nonce), false}};
-  c.done = [this, id](Outcome, std::uint64_t) { changing_.erase(id); };
+  c.done = [this, id](CasOutcome, std::uint64_t) { changing_.erase(id); };
   spdlog::info("machine released machine={}", id);
-  state_store_.commit(std::move(c));
+  state_store_.compare_and_swap(std::move(c));
 }
 
 // The keys of machines that are gone are of no use.
-void Fleet::forget(const std::vector<std::string>& ids) {
-  Commit c;
+void FleetManager::forget(const std::vector<std::string>& ids) {
+  CompareAndSwap c;
   std::vector<std::string> mine;
   for (const auto& id : ids) {
     auto m = state_store_.view().machines.find(id);
     if (m == state_store_.view().machines.end() || !changing_.insert(id).second) continue;
     spdlog::info("machine forgotten machine={}", id);
-    gone_.insert(id);
+    terminated_.insert(id);
     mine.push_back(id);
     c.preconditions.push_back({codec::machine_key(id), m->second.revision});
     c.writes.push_back({codec::machine_key(id), "", false});
-    if (static_cast<int>(mine.size()) == s_.batch()) break;
+    if (static_cast<int>(mine.size()) == settings_.batch()) break;
   }
   if (mine.empty()) return;
-  c.pace = Pace::fleet;
+  c.request_priority = RequestPriority::fleet;
   c.nonce = state_store_.nonce();
-  c.done = [this, mine](Outcome, std::uint64_t) {
+  c.done = [this, mine](CasOutcome, std::uint64_t) {
     for (const auto& id : mine) changing_.erase(id);
   };
-  state_store_.commit(std::move(c));
+  state_store_.compare_and_swap(std::move(c));
   const std::vector<std::string> rest(std::find(ids.begin(), ids.end(), mine.back()) + 1,
                                       ids.end());
   if (!rest.empty()) forget(rest);
 }
 
-void Fleet::return_released() {
-  if (returning_) return;
+void FleetManager::terminate_released() {
+  if (terminating_) return;
   std::vector<std::string> ids, again;
   for (const auto& [id, m] : state_store_.view().machines)
-    if (m.record.part < 0 && !changing_.count(id)) {
-      if (gone_.count(id))
+    if (m.record.partition < 0 && !changing_.count(id)) {
+      if (terminated_.count(id))
         again.push_back(id);  // returned before, but its key is still there
-      else if (ids.size() < k::kReturnMost)
+      else if (ids.size() < k::kTerminateMost)
         ids.push_back(id);
     }
   forget(again);
   if (ids.empty()) return;
-  returning_ = true;
-  cloud_.call({"", "POST", "/machines/return", codec::return_body(ids), 0},
+  terminating_ = true;
+  cloud_.call({"", "POST", "/machines/return", codec::scale_in_body(ids), 0},
               [this, ids](HttpReply r) {
-                returning_ = false;
+                terminating_ = false;
                 if (r.status != 200) return;
-                counters_.returned += ids.size();
-                hooks_.machines_gone(ids);
+                counters_.terminated += ids.size();
+                hooks_.machines_terminated(ids);
                 for (const auto& id : ids) {
                   spdlog::info("machine returned machine={}", id);
-                  rental_.forget(id);
+                  provisioner_.forget(id);
                 }
                 forget(ids);
               });
 }
 
-void Fleet::tick() {
-  const Ms now = rt_.now();
+void FleetManager::tick() {
+  const Ms now = runtime_.now();
   if (!catalog_asked_ && now - catalog_at_ >= (types_.empty() ? k::kRetryMs : k::kCatalogEveryMs))
     get_catalog();
-  if (!owner_.leading() || types_.empty()) {
-    was_leading_ = false;
+  if (!partition_leader_.is_cluster_leader() || types_.empty()) {
+    was_cluster_leader_ = false;
     return;
   }
-  if (!was_leading_) {
-    was_leading_ = true;
-    leading_since_ = now;
+  if (!was_cluster_leader_) {
+    was_cluster_leader_ = true;
+    cluster_leader_since_ = now;
     short_since_ = 0;
-    rental_.forget_all();
-    known_.clear();
+    provisioner_.forget_all();
+    listed_machines_.clear();
   }
   assigner_.assign_all();
-  if (!listing_ && now - listed_at_ >= k::kListEveryMs) list("");
+  if (!listing_ && now - listed_at_ >= k::kListEveryMs) list_machines("");
   if (now - balanced_at_ >= k::kBalanceEveryMs) {
     balanced_at_ = now;
-    balance();
-    return_released();
+    rebalance();
+    terminate_released();
   }
-  if (now - scaled_at_ >= k::kFleetEveryMs && now - leading_since_ >= k::kLeaderSettlesMs) {
+  if (now - scaled_at_ >= k::kFleetEveryMs && now - cluster_leader_since_ >= k::kLeaderSettlesMs) {
     scaled_at_ = now;
-    scale();
+    scale_out_and_in();
   }
 }
 
--- a/src/fleet/machine_assigner.h
+++ b/src/fleet/machine_assigner.h
@@ -12,26 +12,27 @@
 namespace eiderreel {
 
 // What the guarantees of a partition's teams come to, in CPUs; its share of the machines at least.
-double guaranteed_cpus(const Settings& s, int part);
+double fair_share_cpus_of(const Settings& settings, int partition);
 
 class MachineAssigner {
  public:
-  MachineAssigner(const Settings& s, StateStoreClient& state_store, Owner& owner)
-      : s_(s), state_store_(state_store), owner_(owner) {}
+  MachineAssigner(const Settings& settings, StateStoreClient& state_store,
+                  PartitionLeader& partition_leader)
+      : settings_(settings), state_store_(state_store), partition_leader_(partition_leader) {}
   void types_known(const std::vector<MachineType>& types) { types_ = types; }
   // Called with each machine whose assignment has ended, whatever came of it.
   void start(std::function<void(const std::string& machine)> ended) { ended_ = std::move(ended); }
 
   // A machine without a partition has reported; the newest report is kept, and answered once the
   // machine is assigned.
-  void add(const Report& r, Reply reply);
+  void add(const Heartbeat& r, Reply reply);
   // Machines that come up together are dealt out together, many in a transaction.
   void assign_all();
 
  private:
-  struct Assigning {
+  struct PendingAssignment {
     Reply reply;
-    Report report;
+    Heartbeat heartbeat;
     codec::MachineRecord record;
     bool sent = false;  // its commit is on its way
   };
@@ -40,16 +41,16 @@
   };
 
   std::vector<Share> shares() const;
-  static int part_for(std::vector<Share>& shares, double cpus, bool spot);
+  static int choose_partition(std::vector<Share>& shares, double cpus, bool spot);
   void send(std::vector<std::string> machines);
-  void end(const std::string& machine, Outcome outcome);
+  void end(const std::string& machine, CasOutcome outcome);
 
-  const Settings& s_;
+  const Settings& settings_;
   StateStoreClient& state_store_;
-  Owner& owner_;
+  PartitionLeader& partition_leader_;
   std::vector<MachineType> types_;
   std::function<void(const std::string&)> ended_;
-  std::map<std::string, Assigning> assigning_;  // by machine
+  std::map<std::string, PendingAssignment> pending_assignments_;  // by machine
 };
 
 }  // namespace eiderreel
--- a/src/leadership/conversion_pace.cc
+++ b/src/leadership/conversion_pace.cc
@@ -7,7 +7,7 @@
 
 namespace k = constants;
 
-bool ConversionPace::allows(Ms now) {
+bool ConversionRateLimiter::allows(Ms now) {
   const double elapsed_ms = refilled_at_ == 0 ? 0 : static_cast<double>(now - refilled_at_);
   refilled_at_ = now;
   const double most = std::max(1.0, changes_per_s_ * k::kConversionBurst);
--- a/src/leadership/conversion_pace.h
+++ b/src/leadership/conversion_pace.h
@@ -7,10 +7,10 @@
 
 namespace eiderreel::upgrade {
 
-class ConversionPace {
+class ConversionRateLimiter {
  public:
   // `changes_per_s`: what the conversion may take of the state service's changes.
-  explicit ConversionPace(double changes_per_s) : changes_per_s_(changes_per_s) {}
+  explicit ConversionRateLimiter(double changes_per_s) : changes_per_s_(changes_per_s) {}
 
   // Whether a commit may go now. One that takes more changes than are saved up is paid for
   // afterwards.
--- a/src/leadership/partition_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -8,16 +8,16 @@
 
 namespace k = constants;
 
-void Owner::job_opened(const std::string& id) {
+void PartitionLeader::job_opened(const std::string& id) {
   const auto& j = state_store_.view().jobs.at(id);
-  Owned* o = owned(s_.part_of_team(j.spec.team));
+  LedPartition* o = led_partition(settings_.partition_of_team(j.spec.team));
   if (!o || !o->active) return;  // it will read the view
   if (state_store_.view().dependencies.waits(id)) return log_waiting(id);
   open_in(*o, id, {});
-  pump(*o);
+  answer_deferred(*o);
 }
 
-void Owner::log_waiting(const std::string& id) const {
+void PartitionLeader::log_waiting(const std::string& id) const {
   const auto& dependencies = state_store_.view().dependencies;
   const auto first = dependencies.prerequisites_of(id, 1);
   spdlog::info("job waiting job={} prerequisites={} first={} cancelled={}", id,
@@ -27,64 +27,67 @@
 
 // Invariant 11: the last of its prerequisites is durably done. Until now the part knew nothing of
 // the job: it took part in no limit, no guarantee, no need of machines.
-void Owner::job_ready(const std::string& id) {
+void PartitionLeader::job_ready(const std::string& id) {
   const auto job = state_store_.view().jobs.find(id);
   if (job == state_store_.view().jobs.end()) return;
-  Owned* o = owned(s_.part_of_team(job->second.spec.team));
+  LedPartition* o = led_partition(settings_.partition_of_team(job->second.spec.team));
   if (!o || !o->active) return;
-  spdlog::info("job ready job={} term={}", id, o->core->term());
+  spdlog::info("job ready job={} term={}", id, o->core->fencing_token());
   open_in(*o, id, {});
   // Guard: its user has called it off while it waited, and that is still to be recorded.
   if (auto f = o->persistence.find(id); f != o->persistence.end() && f->second.cancel_asked)
     o->core->cancel_job(id);
-  pump(*o);
+  answer_deferred(*o);
 }
 
 // Opens a job that is free to start. A job that became so after our claim never had a task under an
 // earlier owner, whenever it was accepted.
-void Owner::open_in(Owned& o, const std::string& id, const std::vector<std::uint32_t>& done) {
-  const View& v = state_store_.view();
+void PartitionLeader::open_in(LedPartition& o, const std::string& id,
+                              const std::vector<std::uint32_t>& done) {
+  const ClusterView& v = state_store_.view();
   const auto& job = v.jobs.at(id);
   const auto readiness = v.dependencies.readiness(id);
   const std::uint64_t free_since = readiness ? readiness->revision : job.revision;
-  const bool older = free_since < o.core->term();
+  const bool older = free_since < o.core->fencing_token();
   const Ms ready_at = readiness ? readiness->at : job.spec.accepted_at;
-  const Ms age = older || readiness ? std::max<Ms>(0, rt_.wall() - ready_at) : 0;
+  const Ms age = older || readiness ? std::max<Ms>(0, runtime_.wall() - ready_at) : 0;
   o.core->open_job(job.spec, job.revision, older, done, age,
                    std::max<Ms>(0, ready_at - job.spec.accepted_at));
   urgency_changed(id);
 }
 
-void Owner::urgency_changed(const std::string& id) {
+void PartitionLeader::urgency_changed(const std::string& id) {
   const auto urgency = state_store_.view().dependencies.urgency(id);
-  for (auto& [part, o] : owned_) {
+  for (auto& [partition, o] : led_partitions_) {
     if (!o.core->has_job(id)) continue;
     if (!urgency) return o.core->set_urgency(id, Priority::best_effort, std::nullopt);
     std::optional<Ms> finish_by = urgency->finish_by;
-    if (finish_by) *finish_by += rt_.now() - rt_.wall();
+    if (finish_by) *finish_by += runtime_.now() - runtime_.wall();
     o.core->set_urgency(id, urgency->priority, finish_by);
   }
 }
 
-void Owner::job_closed(const std::string& id) {
-  for (auto& [part, o] : owned_) {
+void PartitionLeader::job_closed(const std::string& id) {
+  for (auto& [partition, o] : led_partitions_) {
     if (auto f = o.persistence.find(id); f != o.persistence.end()) {
       if (f->second.final_commit)
-        for (auto& key : f->second.final_commit->left_over) o.unused_keys.push_back(std::move(key));
+        for (auto& key : f->second.final_commit->left_over)
+          o.garbage_keys.push_back(std::move(key));
       o.persistence.erase(f);
     }
     if (!o.core->has_job(id)) continue;
     o.core->close_job(id);
     send_kills(o);
-    pump(o);
+    answer_deferred(o);
   }
 }
 
-void Owner::ask(const mesh::Ask& a, Reply reply) {
-  const int part = part_of_job(a.job);
-  Owned* o = part < 0 ? nullptr : acting_owned(part);
+void PartitionLeader::query_job(const peer_rpc::JobQuery& a, Reply reply) {
+  const int partition = partition_of_job(a.job);
+  LedPartition* o = partition < 0 ? nullptr : acting_partition(partition);
   if (!o) return reply(0, "");
-  if (state_store_.view().dependencies.waits(a.job)) return ask_waiting(part, a, std::move(reply));
+  if (state_store_.view().dependencies.waits(a.job))
+    return query_waiting_job(partition, a, std::move(reply));
   auto status = o->core->status(a.job);
   if (!status) return reply(0, "");
   if (!a.cancel) {
@@ -98,20 +101,20 @@
   // on for as long as its outcome was in doubt.
   o->core->cancel_job(a.job);
   send_kills(*o);
-  commit_final(part, a.job, std::move(reply));
+  commit_final(partition, a.job, std::move(reply));
 }
 
 // A question about a job that waits for others. Invariant 12: its owner alone tells that it is
 // cancelled by implication, so that nobody tells older news after that, and whoever owns it next
 // knows all that this owner knew.
-void Owner::ask_waiting(int part, const mesh::Ask& a, Reply reply) {
+void PartitionLeader::query_waiting_job(int partition, const peer_rpc::JobQuery& a, Reply reply) {
   if (state_store_.view().dependencies.cancelled(a.job))
     return reply(200, a.cancel ? codec::job_answer(a.job, JobPhase::cancelled)
                                : codec::job_status(a.job, {JobPhase::cancelled, 0, 0}));
-  Owned& o = owned_.at(part);
+  LedPartition& o = led_partitions_.at(partition);
   if (a.cancel) {
     o.persistence[a.job].cancel_asked = true;
-    return commit_final(part, a.job, std::move(reply));
+    return commit_final(partition, a.job, std::move(reply));
   }
   const auto f = o.persistence.find(a.job);
   const bool may_be_final = f != o.persistence.end() && f->second.final_commit;
--- a/src/leadership/partition_leader.h
+++ b/src/leadership/partition_leader.h
@@ -14,53 +14,53 @@
 
 namespace eiderreel {
 
-class Owner {
+class PartitionLeader {
  public:
   struct Hooks {
     // An unknown machine has reported here, and we lead: assign it.
-    std::function<void(const Report&, Reply)> assign;
+    std::function<void(const Heartbeat&, Reply)> assign;
     // News of load for the leader and the hand-back.
-    std::function<void(const mesh::Body&)> broadcast;
+    std::function<void(const peer_rpc::Body&)> broadcast;
   };
   struct Counters {
-    std::uint64_t claims = 0, handed_back = 0, reports = 0, stale_reports = 0, deferred = 0;
-    std::uint64_t starts = 0, leases_over = 0;
+    std::uint64_t claims = 0, failbacks = 0, reports = 0, stale_heartbeats = 0, deferred = 0;
+    std::uint64_t starts = 0, lease_expiries = 0;
     std::uint64_t preemptions = 0;
   };
 
-  Owner(Runtime& rt, const Settings& s, StateStoreClient& state_store);
+  PartitionLeader(Runtime& runtime, const Settings& settings, StateStoreClient& state_store);
   void start(Hooks hooks) { hooks_ = std::move(hooks); }
   void tick();
 
   // --- messages ---
-  void report(const Report& r, Reply reply);
-  void ask(const mesh::Ask& a, Reply reply);  // status 0: not entitled to answer
-  void move(const mesh::Move& m);
-  void shed(const mesh::Shed& s);
-  void peer_status(const std::string& node, const mesh::Status& s);
-  void machines_gone(const std::vector<std::string>& machines);
+  void heartbeat(const Heartbeat& r, Reply reply);
+  void query_job(const peer_rpc::JobQuery& a, Reply reply);  // status 0: not entitled to answer
+  void transfer_machines(const peer_rpc::TransferRequest& m);
+  void cordon(const peer_rpc::CordonRequest& s);
+  void peer_status(const std::string& node, const peer_rpc::PeerStatus& s);
+  void machines_terminated(const std::vector<std::string>& machines);
   void job_opened(const std::string& id);
   void job_ready(const std::string& id);
   void job_closed(const std::string& id);
   void urgency_changed(const std::string& id);
   void machine_changed(const std::string& id);
-  void part_changed(int part);
-  void grant_lost();
+  void partition_changed(int partition);
+  void lease_lost();
   // A peer asks us not to claim its parts for a while; what we promise, and what we hand over.
-  mesh::Promise give_promise(const std::string& node, const mesh::PromiseRequest& a);
-  void take_promise(const std::string& node, const mesh::Promise& p);
+  peer_rpc::Vote vote_on(const std::string& node, const peer_rpc::VoteRequest& a);
+  void receive_vote(const std::string& node, const peer_rpc::Vote& p);
   void types_known(const std::vector<MachineType>& types);
 
   // --- what others may know ---
-  bool acting(int part) const;
-  bool leading() const { return acting(0); }
+  bool acting(int partition) const;
+  bool is_cluster_leader() const { return acting(0); }
   bool peer_alive(const std::string& node) const;
   // Whether a peer is known to run a build that knows no prerequisites. A peer of which nothing is
   // known is none: it may be away for long.
   bool has_old_peer() const;
   // The newest need of every part, ours and the peers'.
-  std::map<int, PartNeed> needs() const;
-  std::map<int, const Part*> parts() const;
+  std::map<int, PartitionLoad> partition_loads() const;
+  std::map<int, const PartitionScheduler*> partitions() const;
   const Counters& counters() const { return counters_; }
   // How far the conversion of stored progress has come in our partitions; nothing where cluster
   // versions are disabled.
@@ -68,22 +68,22 @@
   // The same of a peer, if it is heard and tells it.
   std::optional<ConversionProgress> peer_conversion(const std::string& node) const;
   // Partitions of which no owner is heard, here or among the peers.
-  std::vector<int> unheard_parts() const;
+  std::vector<int> unheard_partitions() const;
 
  private:
   struct DeferredReply {
     Reply reply;
     Ms until = 0;
   };
-  struct HeldReport {  // one that no controller can answer until a part has an owner again
-    Report report;
-    int part = 0;
+  struct HeldHeartbeat {  // one that no controller can answer until a part has an owner again
+    Heartbeat heartbeat;
+    int partition = 0;
     Reply reply;
     Ms until = 0;
   };
   struct FinalCommit {
     JobPhase phase = JobPhase::done;
-    Commit commit;
+    CompareAndSwap compare_and_swap;
     std::vector<std::string> left_over;  // progress that its transaction had no room to delete
   };
   struct JobPersistence {
@@ -94,96 +94,101 @@
     // The final commit that was sent and is not proven undone: it may have landed, or still may.
     std::optional<FinalCommit> final_commit;
   };
-  struct Owned {
-    std::unique_ptr<Part> core;
+  struct LedPartition {
+    std::unique_ptr<PartitionScheduler> core;
     bool active = false;
     std::map<std::string, DeferredReply> deferred;
     // The reply that this machine waits for, no longer deferred; null: it waits for none.
     Reply take_deferred(const std::string& machine);
     std::map<std::string, JobPersistence> persistence;
-    std::vector<std::string> unused_keys;  // to be deleted, see `sweep`
-    Ms look_for_conversion_at = 0;         // nothing was left to convert when last looked for
+    std::vector<std::string> garbage_keys;  // to be deleted, see `sweep`
+    Ms look_for_conversion_at = 0;          // nothing was left to convert when last looked for
   };
   struct PeerNews {
     Ms at = 0;
-    mesh::Status status;
+    peer_rpc::PeerStatus status;
   };
 
-  void dispatch(const Report& r, Reply reply);
-  void redirect(const Report& r, int part, Reply reply);
-  bool owner_silent(int part) const;
-  void name_owner(int part, const Reply& reply) const;
-  void release_held_reports();
-  bool entitled() const;
-  void request_promises();
-  Owned* owned(int part);
-  Owned* acting_owned(int part);
-  int part_of_job(const std::string& id) const;
-  void claim_vacant();
-  void claim(int part);
-  void activate(int part, std::uint64_t revision);
-  void load_done(int part, std::uint64_t revision);
-  void hand_back();
-  void hand_over(int part, const char* reason);
-  bool settled() const;
-  void listen();
-  bool hears() const;
+  void dispatch(const Heartbeat& r, Reply reply);
+  void redirect(const Heartbeat& r, int partition, Reply reply);
+  bool leader_silent(int partition) const;
+  void redirect_to_leader(int partition, const Reply& reply) const;
+  void release_held_heartbeats();
+  bool may_act() const;
+  void request_votes();
+  LedPartition* led_partition(int partition);
+  LedPartition* acting_partition(int partition);
+  int partition_of_job(const std::string& id) const;
+  void claim_vacant_partitions();
+  void claim(int partition);
+  void activate(int partition, std::uint64_t revision);
+  void load_progress(int partition, std::uint64_t revision);
+  void fail_back();
+  void relinquish(int partition, const char* reason);
+  bool may_relinquish() const;
+  void probe_workers();
+  bool hears_workers() const;
   bool has_lost_workers(const std::string& node) const;
-  void hand_over_if_workers_lost();
-  void give_up(int part, std::uint64_t revision);
-  void drop(int part, const char* reason);
-  void answer(Owned& o, const std::string& machine, std::vector<Command> commands, Reply reply);
-  void pump(Owned& o);
-  void give_away(int part, int to, const std::vector<std::string>& machines);
-  void send_move(int part, std::uint64_t term, const std::vector<std::string>& machines, Commit c);
-  void move_again(int part, std::uint64_t term, const std::vector<std::string>& machines,
-                  const Commit& c);
-  void send_kills(Owned& o);
-  void kill_again(int part, std::uint64_t term, const std::string& machine);
-  void open_in(Owned& o, const std::string& id, const std::vector<std::uint32_t>& done);
+  void relinquish_if_workers_lost();
+  void delete_claim(int partition, std::uint64_t revision);
+  void step_down(int partition, const char* reason);
+  void reply_to_heartbeat(LedPartition& o, const std::string& machine,
+                          std::vector<Command> commands, Reply reply);
+  void answer_deferred(LedPartition& o);
+  void transfer(int partition, int to, const std::vector<std::string>& machines);
+  void send_transfer(int partition, std::uint64_t fencing_token,
+                     const std::vector<std::string>& machines, CompareAndSwap c);
+  void retry_transfer(int partition, std::uint64_t fencing_token,
+                      const std::vector<std::string>& machines, const CompareAndSwap& c);
+  void send_kills(LedPartition& o);
+  void retry_kills(int partition, std::uint64_t fencing_token, const std::string& machine);
+  void open_in(LedPartition& o, const std::string& id, const std::vector<std::uint32_t>& done);
   void log_waiting(const std::string& id) const;
-  void ask_waiting(int part, const mesh::Ask& a, Reply reply);
-  void commit_finals_of_waiting(int part, Owned& o);
-  void record_implied(int part, Owned& o);
-  void sweep(int part, Owned& o);
-  void persist(int part, Owned& o);
-  void persist_progress(int part, Owned& o, const std::string& id);
-  void convert_progress(int part, Owned& o);
-  upgrade::ProgressOfJob progress_of(int part, const Owned& o, const std::string& id) const;
-  void commit_progress(int part, Owned& o, const std::string& id, const std::string& nonce,
-                       upgrade::ProgressBatch batch, bool conversion);
-  void progress_committed(int part, const std::string& id, const upgrade::ProgressBatch& batch,
+  void query_waiting_job(int partition, const peer_rpc::JobQuery& a, Reply reply);
+  void commit_finals_of_waiting(int partition, LedPartition& o);
+  void commit_implied_cancellations(int partition, LedPartition& o);
+  void collect_garbage(int partition, LedPartition& o);
+  void persist(int partition, LedPartition& o);
+  void persist_progress(int partition, LedPartition& o, const std::string& id);
+  void convert_progress(int partition, LedPartition& o);
+  upgrade::ProgressOfJob progress_of(int partition, const LedPartition& o,
+                                     const std::string& id) const;
+  void commit_progress(int partition, LedPartition& o, const std::string& id,
+                       const std::string& nonce, upgrade::ProgressBatch batch, bool conversion);
+  void progress_committed(int partition, const std::string& id, const upgrade::ProgressBatch& batch,
                           std::uint64_t revision);
-  void read_progress_again(int part, const std::string& id, const upgrade::ProgressBatch& batch);
-  void commit_final(int part, const std::string& id, Reply reply);
-  void final_committed(int part, const std::string& id, std::uint64_t term, Outcome out,
-                       JobPhase phase, const Reply& reply);
-  bool may_promise(const std::string& node, const mesh::PromiseRequest& a) const;
-  std::vector<codec::Precondition> job_preconditions(int part, const std::string& id) const;
+  void read_progress_again(int partition, const std::string& id,
+                           const upgrade::ProgressBatch& batch);
+  void commit_final(int partition, const std::string& id, Reply reply);
+  void final_committed(int partition, const std::string& id, std::uint64_t fencing_token,
+                       CasOutcome out, JobPhase phase, const Reply& reply);
+  bool may_vote(const std::string& node, const peer_rpc::VoteRequest& a) const;
+  std::vector<codec::Precondition> job_preconditions(int partition, const std::string& id) const;
 
-  Runtime& rt_;
-  const Settings& s_;
+  Runtime& runtime_;
+  const Settings& settings_;
   StateStoreClient& state_store_;
   Hooks hooks_;
-  std::map<int, Owned> owned_;
-  std::map<std::string, HeldReport> held_reports_;  // by machine
+  std::map<int, LedPartition> led_partitions_;
+  std::map<std::string, HeldHeartbeat> held_heartbeats_;  // by machine
   std::map<int, Ms> vacant_since_;
-  std::map<int, std::string> last_owner_;
-  std::set<int> claiming_;                  // a claim of ours is on its way
-  std::set<int> in_doubt_;                  // one may still land, for as long as our grant lasts
-  std::map<int, Ms> promised_to_peers_;     // parts that we must not claim until then
-  std::map<int, std::uint64_t> giving_up_;  // dropped by us, their keys (revisions) not yet deleted
+  std::map<int, std::string> last_leader_;
+  std::set<int> claiming_;         // a claim of ours is on its way
+  std::set<int> claims_in_doubt_;  // one may still land, for as long as our grant lasts
+  std::map<int, Ms> voted_until_;  // parts that we must not claim until then
+  std::map<int, std::uint64_t>
+      deleting_claims_;  // dropped by us, their keys (revisions) not yet deleted
   // Promises of peers to us: the sending time of the question, and until when each holds.
-  std::map<std::uint64_t, Ms> promise_requests_;
-  std::map<std::string, Ms> peer_promises_;
-  Ms promises_requested_at_ = 0, started_ = 0;
-  std::uint64_t next_promise_request_ = 0;
+  std::map<std::uint64_t, Ms> vote_requests_;
+  std::map<std::string, Ms> votes_;
+  Ms votes_requested_at_ = 0, started_ = 0;
+  std::uint64_t next_vote_request_ = 0;
   std::map<std::string, PeerNews> peers_;
   std::vector<MachineType> types_;
-  upgrade::ConversionPace conversion_pace_;
-  bool sweeping_ = false;
+  upgrade::ConversionRateLimiter conversion_rate_limiter_;
+  bool collecting_garbage_ = false;
   Ms last_status_ = 0;
-  Ms silent_ = 0, listened_at_ = 0, probed_at_ = 0;  // see `listen`
+  Ms workers_silent_ms_ = 0, silence_counted_at_ = 0, probed_at_ = 0;  // see `listen`
   Counters counters_;
 };
 
--- a/src/leadership/progress_plan.cc
+++ b/src/leadership/progress_plan.cc
@@ -15,7 +15,7 @@
 }
 
 std::string key_of(const ProgressOfJob& job, const TaskRange& range) {
-  return codec::done_key(job.part, job.id, range);
+  return codec::done_key(job.partition, job.id, range);
 }
 
 ProgressValue value_of(const ProgressOfJob& job, const TaskRange& range, ProgressForm form,
--- a/src/leadership/progress_plan.h
+++ b/src/leadership/progress_plan.h
@@ -29,7 +29,7 @@
 
 // The job whose progress is stored.
 struct ProgressOfJob {
-  int part = 0;
+  int partition = 0;
   std::string id;
   std::uint32_t tasks = 0;
   std::size_t value_bytes = 0;  // the largest value that the state service takes
--- a/src/model/types.h
+++ b/src/model/types.h
@@ -11,15 +11,15 @@
 namespace eiderreel {
 
 enum class Priority : std::uint8_t { best_effort, standard, high, production };
-enum class Kind : std::uint8_t { array, service };
+enum class JobKind : std::uint8_t { array, service };
 enum class JobPhase : std::uint8_t { queued, running, done, cancelled };
 enum class TaskPhase : std::uint8_t { pulling, running, flushing, exited };
 enum class ExitReason : std::uint8_t { none, done, stopped, error, no_room, busy, no_such };
-enum class Verb : std::uint8_t { launch, kill, clear };
+enum class CommandType : std::uint8_t { launch, kill, clear };
 
 struct JobSpec {
   std::string id, jobclass, team;
-  Kind kind = Kind::array;
+  JobKind kind = JobKind::array;
   Priority priority = Priority::standard;
   std::uint32_t tasks = 1;
   double cpus = 0, gpus = 0, memory_gb = 0;
@@ -35,11 +35,11 @@
 
 struct Team {  // what it is guaranteed, and what its tasks may use at most (infinite: no limit)
   std::string name;
-  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;
+  double fair_share_cpus = 0, quota_cpus = 0, fair_share_gpus = 0, quota_gpus = 0;
 };
 
 // What is expected of a class of jobs at its end: within so long, or so many times the deadline.
-struct FinishAim {
+struct CompletionObjective {
   double within_s = 0;
   double times = 0;
 };
@@ -51,7 +51,7 @@
   std::vector<std::string> zones;
 };
 
-struct TaskReport {
+struct TaskStatus {
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
@@ -59,16 +59,16 @@
   ExitReason exit_reason = ExitReason::none;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine, addr, type, zone;
   bool spot = false;
-  std::uint64_t session = 0, sequence = 0, term = 0;
+  std::uint64_t incarnation = 0, sequence = 0, fencing_token = 0;
   std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
 };
 
 struct Command {
-  Verb verb = Verb::launch;
+  CommandType type = CommandType::launch;
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
@@ -81,14 +81,14 @@
 };
 
 // A job that is over, and the revision of its final record.
-struct ClosedJob {
+struct FinishedJob {
   std::string id;
   JobPhase phase = JobPhase::done;
   std::uint64_t revision = 0;
 };
 
 // What a node takes of the state service: requests and changes a second.
-struct BudgetUse {
+struct StoreUsage {
   double requests = 0, changes = 0;
 };
 
@@ -109,7 +109,7 @@
 }
 
 // Whether a machine of this type, zone and kind may ever hold a task of the job.
-inline bool allowed(const JobSpec& j, const MachineType& t, const std::string& zone, bool spot) {
+inline bool may_host(const JobSpec& j, const MachineType& t, const std::string& zone, bool spot) {
   if (spot && !j.spot) return false;
   if (!j.zone.empty() && j.zone != zone) return false;
   if (!j.types.empty() && std::find(j.types.begin(), j.types.end(), t.name) == j.types.end())
--- a/src/net/event_loop.cc
+++ b/src/net/event_loop.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-Loop::Loop(const Settings& s) : s_(s) {
+Loop::Loop(const Settings& settings) : settings_(settings) {
   event_config* config = event_config_new();
   event_config_set_flag(config, EVENT_BASE_FLAG_NOLOCK);
   base_.reset(event_base_new_with_config(config));
@@ -39,7 +39,7 @@
 Loop::~Loop() {
   for (auto& [ev, f] : periodic_) event_free(ev);
   if (server_) evhttp_free(server_);
-  mesh_.reset();
+  peer_links_.reset();
   clients_.clear();
 }
 
@@ -56,17 +56,17 @@
   // Guard: after an end of all controllers every worker and user connects to the first that is
   // back; the queue of connections not yet accepted holds as many as there may be (libevent's own:
   // 128).
-  sockaddr_in sin = to_sockaddr(s_.api_addr);
+  sockaddr_in sin = to_sockaddr(settings_.api_addr);
   evconnlistener* listener = evconnlistener_new_bind(
-      base_.get(), nullptr, nullptr, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, s_.max_sockets,
-      reinterpret_cast<sockaddr*>(&sin), sizeof sin);
+      base_.get(), nullptr, nullptr, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
+      settings_.max_sockets, reinterpret_cast<sockaddr*>(&sin), sizeof sin);
   if (!listener || !evhttp_bind_listener(server_, listener)) {
-    error = "cannot listen on api_addr " + s_.api_addr;
+    error = "cannot listen on api_addr " + settings_.api_addr;
     return false;
   }
-  mesh_ = std::make_unique<Mesh>(base_.get(), s_, std::move(on_frame));
-  if (!mesh_->listen()) {
-    error = "cannot listen on mesh_addr " + s_.mesh_addr;
+  peer_links_ = std::make_unique<PeerLinks>(base_.get(), settings_, std::move(on_frame));
+  if (!peer_links_->listen()) {
+    error = "cannot listen on mesh_addr " + settings_.peer_addr;
     return false;
   }
   return true;
@@ -151,6 +151,8 @@
   client->send(std::move(r), std::move(done));
 }
 
-void Loop::send(const std::string& node, const std::string& bytes) { mesh_->send(node, bytes); }
+void Loop::send(const std::string& node, const std::string& bytes) {
+  peer_links_->send(node, bytes);
+}
 
 }  // namespace eiderreel::net
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -17,7 +17,7 @@
 
 namespace eiderreel::net {
 
-class Mesh;
+class PeerLinks;
 
 class Loop : public Runtime {
  public:
@@ -25,7 +25,7 @@
                                        const std::string& body, Reply reply)>;
   using OnFrame = std::function<void(const std::string&)>;
 
-  explicit Loop(const Settings& s);
+  explicit Loop(const Settings& settings);
   ~Loop() override;
   // False when an address cannot be bound; `error` says which.
   bool listen(OnRequest on_request, OnFrame on_frame, std::string& error);
@@ -43,12 +43,12 @@
  private:
   static void on_http(evhttp_request* req, void* arg);
 
-  const Settings& s_;
+  const Settings& settings_;
   Base base_;
   evhttp* server_ = nullptr;
   OnRequest on_request_;
   std::map<std::string, std::unique_ptr<HttpClient>> clients_;
-  std::unique_ptr<Mesh> mesh_;
+  std::unique_ptr<PeerLinks> peer_links_;
   std::vector<std::pair<event*, std::unique_ptr<std::function<void()>>>> periodic_;
   std::string boot_id_;
 };
--- a/src/net/http_reply.cc
+++ b/src/net/http_reply.cc
@@ -50,16 +50,16 @@
 PendingReply::~PendingReply() {
   if (!req_) return;
   // Nobody answered. Guard: a request is never left hanging.
-  if (!closed_) send(503, "");
+  if (!finished_) send(503, "");
   if (req_) evhttp_request_free(req_);
 }
 
 void PendingReply::on_close(evhttp_connection*, void* arg) {
-  static_cast<PendingReply*>(arg)->closed_ = true;
+  static_cast<PendingReply*>(arg)->finished_ = true;
 }
 
 void PendingReply::send(int status, const std::string& body) {
-  if (!req_ || closed_) return;
+  if (!req_ || finished_) return;
   evhttp_request* r = req_;
   req_ = nullptr;
   evhttp_connection_set_closecb(evhttp_request_get_connection(r), nullptr, nullptr);
--- a/src/net/http_reply.h
+++ b/src/net/http_reply.h
@@ -21,7 +21,7 @@
   static void on_close(evhttp_connection*, void* arg);
 
   evhttp_request* req_;
-  bool closed_ = false;
+  bool finished_ = false;
 };
 
 }  // namespace eiderreel::net
--- a/src/net/peer_links.cc
+++ b/src/net/peer_links.cc
@@ -20,10 +20,11 @@
 
 }  // namespace
 
-Mesh::Mesh(event_base* base, const Settings& s, std::function<void(const std::string&)> on_frame)
-    : base_(base), s_(s), on_frame_(std::move(on_frame)) {}
+PeerLinks::PeerLinks(event_base* base, const Settings& settings,
+                     std::function<void(const std::string&)> on_frame)
+    : base_(base), settings_(settings), on_frame_(std::move(on_frame)) {}
 
-Mesh::~Mesh() {
+PeerLinks::~PeerLinks() {
   if (listener_) evconnlistener_free(listener_);
   for (auto* b : heard_) bufferevent_free(b);
   for (auto& [name, l] : links_) {
@@ -32,21 +33,21 @@
   }
 }
 
-bool Mesh::listen() {
-  sockaddr_in sin = to_sockaddr(s_.mesh_addr);
-  listener_ = evconnlistener_new_bind(base_, &Mesh::on_accept, this,
+bool PeerLinks::listen() {
+  sockaddr_in sin = to_sockaddr(settings_.peer_addr);
+  listener_ = evconnlistener_new_bind(base_, &PeerLinks::on_accept, this,
                                       LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1,
                                       reinterpret_cast<sockaddr*>(&sin), sizeof sin);
   if (!listener_) return false;
-  for (const auto& p : s_.peers) {
+  for (const auto& p : settings_.peers) {
     Link& l = links_[p.name];
-    l.mesh = this;
-    l.addr = p.mesh_addr;
+    l.peer_rpc = this;
+    l.addr = p.peer_addr;
     l.redial = evtimer_new(
         base_,
         [](evutil_socket_t, short, void* arg) {
           auto* link = static_cast<Link*>(arg);
-          link->mesh->dial(*link);
+          link->peer_rpc->dial(*link);
         },
         &l);
     dial(l);
@@ -54,12 +55,12 @@
   return true;
 }
 
-void Mesh::dial(Link& l) {
+void PeerLinks::dial(Link& l) {
   l.bev = bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE);
   l.connected = false;
-  bufferevent_setcb(l.bev, nullptr, nullptr, &Mesh::on_link_event, &l);
+  bufferevent_setcb(l.bev, nullptr, nullptr, &PeerLinks::on_link_event, &l);
   // A link that hangs is given up, and so is one that cannot be opened.
-  const timeval tv{k::kMeshStuckMs / 1000, 0};
+  const timeval tv{k::kPeerStuckMs / 1000, 0};
   bufferevent_set_timeouts(l.bev, nullptr, &tv);
   bufferevent_enable(l.bev, EV_WRITE | EV_READ);
   sockaddr_in sin = to_sockaddr(l.addr);
@@ -67,27 +68,27 @@
     fail(l);
 }
 
-void Mesh::fail(Link& l) {
+void PeerLinks::fail(Link& l) {
   if (l.bev) bufferevent_free(l.bev);
   l.bev = nullptr;
   l.connected = false;
-  const timeval tv{0, k::kMeshRedialMs * 1000};
+  const timeval tv{0, k::kPeerRedialMs * 1000};
   event_add(l.redial, &tv);
 }
 
-void Mesh::on_link_event(bufferevent*, short what, void* arg) {
+void PeerLinks::on_link_event(bufferevent*, short what, void* arg) {
   auto* l = static_cast<Link*>(arg);
   if (what & BEV_EVENT_CONNECTED)
     l->connected = true;
   else
-    l->mesh->fail(*l);
+    l->peer_rpc->fail(*l);
 }
 
-void Mesh::send(const std::string& node, const std::string& bytes) {
+void PeerLinks::send(const std::string& node, const std::string& bytes) {
   auto it = links_.find(node);
   if (it == links_.end() || !it->second.bev || !it->second.connected) return;
   Link& l = it->second;
-  if (evbuffer_get_length(bufferevent_get_output(l.bev)) > k::kMeshBacklogMax) {
+  if (evbuffer_get_length(bufferevent_get_output(l.bev)) > k::kPeerBacklogMaxBytes) {
     fail(l);
     return;
   }
@@ -98,30 +99,30 @@
   bufferevent_write(l.bev, bytes.data(), bytes.size());
 }
 
-void Mesh::on_accept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
-  auto* self = static_cast<Mesh*>(arg);
+void PeerLinks::on_accept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
+  auto* self = static_cast<PeerLinks*>(arg);
   bufferevent* bev = bufferevent_socket_new(self->base_, fd, BEV_OPT_CLOSE_ON_FREE);
   self->heard_.insert(bev);
-  bufferevent_setcb(bev, &Mesh::on_read, nullptr, &Mesh::on_heard_end, self);
-  const timeval tv{k::kMeshSilentMs / 1000, 0};
+  bufferevent_setcb(bev, &PeerLinks::on_read, nullptr, &PeerLinks::on_heard_end, self);
+  const timeval tv{k::kPeerIdleTimeoutMs / 1000, 0};
   bufferevent_set_timeouts(bev, &tv, nullptr);
   bufferevent_enable(bev, EV_READ);
 }
 
-void Mesh::on_heard_end(bufferevent* bev, short, void* arg) {
-  static_cast<Mesh*>(arg)->heard_.erase(bev);
+void PeerLinks::on_heard_end(bufferevent* bev, short, void* arg) {
+  static_cast<PeerLinks*>(arg)->heard_.erase(bev);
   bufferevent_free(bev);
 }
 
-void Mesh::on_read(bufferevent* bev, void* arg) {
-  auto* self = static_cast<Mesh*>(arg);
+void PeerLinks::on_read(bufferevent* bev, void* arg) {
+  auto* self = static_cast<PeerLinks*>(arg);
   evbuffer* in = bufferevent_get_input(bev);
   for (;;) {
     std::array<unsigned char, kHead> head{};
     if (evbuffer_copyout(in, head.data(), kHead) < static_cast<ev_ssize_t>(kHead)) return;
     std::uint32_t n = 0;
     for (std::size_t i = 0; i < kHead; ++i) n |= static_cast<std::uint32_t>(head[i]) << (8 * i);
-    if (n > k::kMeshFrameMax) {  // not one of ours
+    if (n > k::kPeerFrameMaxBytes) {  // not one of ours
       on_heard_end(bev, 0, arg);
       return;
     }
--- a/src/net/peer_links.h
+++ b/src/net/peer_links.h
@@ -16,18 +16,19 @@
 
 namespace eiderreel::net {
 
-class Mesh {
+class PeerLinks {
  public:
-  Mesh(event_base* base, const Settings& s, std::function<void(const std::string&)> on_frame);
-  ~Mesh();
-  Mesh(const Mesh&) = delete;
-  Mesh& operator=(const Mesh&) = delete;
+  PeerLinks(event_base* base, const Settings& settings,
+            std::function<void(const std::string&)> on_frame);
+  ~PeerLinks();
+  PeerLinks(const PeerLinks&) = delete;
+  PeerLinks& operator=(const PeerLinks&) = delete;
   bool listen();
   void send(const std::string& node, const std::string& bytes);
 
  private:
   struct Link {  // one we dialled
-    Mesh* mesh = nullptr;
+    PeerLinks* peer_rpc = nullptr;
     std::string addr;
     bufferevent* bev = nullptr;
     bool connected = false;
@@ -41,7 +42,7 @@
   static void on_link_event(bufferevent* bev, short what, void* arg);
 
   event_base* base_;
-  const Settings& s_;
+  const Settings& settings_;
   std::function<void(const std::string&)> on_frame_;
   evconnlistener* listener_ = nullptr;
   std::map<std::string, Link> links_;
--- a/src/peer_rpc/messages.cc
+++ b/src/peer_rpc/messages.cc
@@ -8,7 +8,7 @@
 
 #include "peer_messages.capnp.h"
 
-namespace eiderreel::mesh {
+namespace eiderreel::peer_rpc {
 namespace {
 
 template <class Builder>
@@ -24,23 +24,23 @@
 
 struct Encoder {
   wire::Envelope::Builder e;
-  void operator()(const Ask& m) {
-    auto b = e.initAsk();
+  void operator()(const JobQuery& m) {
+    auto b = e.initJobQuery();
     b.setNumber(m.number);
     b.setCancel(m.cancel);
     b.setJob(m.job);
   }
-  void operator()(const Answer& m) {
-    auto b = e.initAnswer();
+  void operator()(const JobQueryReply& m) {
+    auto b = e.initJobQueryReply();
     b.setNumber(m.number);
     b.setStatus(static_cast<std::uint16_t>(m.status));
     b.setBody(m.body);
   }
-  void operator()(const Status& m) {
-    auto status = e.initStatus();
+  void operator()(const PeerStatus& m) {
+    auto status = e.initPeerStatus();
     status.setRequests(m.use.requests);
     status.setChanges(m.use.changes);
-    status.setHears(m.hears);
+    status.setHearsWorkers(m.hears_workers);
     status.setFeatures(m.features);
     if (m.conversion) {
       auto conversion = status.initConversion();
@@ -49,11 +49,11 @@
       conversion.setUnreadable(m.conversion->unreadable);
       conversion.setValuesPerS(m.conversion->values_per_s);
     }
-    auto list = status.initParts(static_cast<unsigned>(m.parts.size()));
-    for (unsigned i = 0; i < m.parts.size(); ++i) {
-      const auto& [part, n] = m.parts[i];
+    auto list = status.initPartitions(static_cast<unsigned>(m.partition_loads.size()));
+    for (unsigned i = 0; i < m.partition_loads.size(); ++i) {
+      const auto& [partition, n] = m.partition_loads[i];
       auto b = list[i];
-      b.setPart(static_cast<std::uint16_t>(part));
+      b.setPartition(static_cast<std::uint16_t>(partition));
       b.setWaitingCpus(n.waiting_cpus);
       b.setWaitingSpotCpus(n.waiting_spot_cpus);
       b.setWaitingServiceCpus(n.waiting_service_cpus);
@@ -65,70 +65,71 @@
       b.setWaitS(n.wait_s);
       b.setIdleCpus(n.idle_cpus);
       b.setIdleSpotCpus(n.idle_spot_cpus);
-      b.setRestedCpus(n.rested_cpus);
-      b.setRestedSpotCpus(n.rested_spot_cpus);
+      b.setReleasableCpus(n.releasable_cpus);
+      b.setReleasableSpotCpus(n.releasable_spot_cpus);
       b.setIdleMachines(n.idle_machines);
       b.setSpotCpus(n.spot_cpus);
       b.setWaitedS(n.waited_s);
-      auto unplaceable = b.initUnplaceable(static_cast<unsigned>(n.unplaceable.size()));
-      for (unsigned s = 0; s < n.unplaceable.size(); ++s) {
-        unplaceable[s].setJob(n.unplaceable[s].first);
-        unplaceable[s].setCpus(n.unplaceable[s].second);
+      auto unschedulable = b.initUnschedulable(static_cast<unsigned>(n.unschedulable.size()));
+      for (unsigned s = 0; s < n.unschedulable.size(); ++s) {
+        unschedulable[s].setJob(n.unschedulable[s].first);
+        unschedulable[s].setCpus(n.unschedulable[s].second);
       }
     }
   }
-  void operator()(const Move& m) {
-    auto b = e.initMove();
-    b.setPart(static_cast<std::uint16_t>(m.part));
+  void operator()(const TransferRequest& m) {
+    auto b = e.initTransferRequest();
+    b.setPartition(static_cast<std::uint16_t>(m.partition));
     b.setTo(static_cast<std::int16_t>(m.to));
     b.setCpus(m.cpus);
     b.setSpot(m.spot);
   }
-  void operator()(const Gone& m) {
-    put_names(e.initGone().initMachines(static_cast<unsigned>(m.machines.size())), m.machines);
+  void operator()(const MachinesTerminated& m) {
+    put_names(e.initMachinesTerminated().initMachines(static_cast<unsigned>(m.machines.size())),
+              m.machines);
   }
-  void operator()(const Shed& m) {
-    auto b = e.initShed();
-    b.setPart(static_cast<std::uint16_t>(m.part));
+  void operator()(const CordonRequest& m) {
+    auto b = e.initCordonRequest();
+    b.setPartition(static_cast<std::uint16_t>(m.partition));
     b.setCpus(m.cpus);
     b.setDrain(m.drain);
   }
-  void operator()(const PromiseRequest& m) {
-    auto b = e.initPromiseRequest();
+  void operator()(const VoteRequest& m) {
+    auto b = e.initVoteRequest();
     b.setNumber(m.number);
-    b.setLifeMs(m.life);
-    b.setLedger(m.store_revision);
-    auto list = b.initParts(static_cast<unsigned>(m.parts.size()));
-    for (unsigned i = 0; i < m.parts.size(); ++i) {
-      list[i].setPart(static_cast<std::uint16_t>(m.parts[i].first));
-      list[i].setStamp(m.parts[i].second);
+    b.setTtlMs(m.ttl);
+    b.setStoreRevision(m.store_revision);
+    auto list = b.initPartitions(static_cast<unsigned>(m.partitions.size()));
+    for (unsigned i = 0; i < m.partitions.size(); ++i) {
+      list[i].setPartition(static_cast<std::uint16_t>(m.partitions[i].first));
+      list[i].setRevision(m.partitions[i].second);
     }
   }
-  void operator()(const Promise& m) {
-    auto b = e.initPromise();
+  void operator()(const Vote& m) {
+    auto b = e.initVote();
     b.setNumber(m.number);
-    b.setGiven(m.given);
-    auto closed = b.initClosed(static_cast<unsigned>(m.closed.size()));
-    for (unsigned i = 0; i < m.closed.size(); ++i) {
-      closed[i].setJob(m.closed[i].id);
-      closed[i].setStamp(m.closed[i].revision);
-      closed[i].setCancelled(m.closed[i].phase == JobPhase::cancelled);
+    b.setGranted(m.granted);
+    auto finished = b.initFinished(static_cast<unsigned>(m.finished.size()));
+    for (unsigned i = 0; i < m.finished.size(); ++i) {
+      finished[i].setJob(m.finished[i].id);
+      finished[i].setRevision(m.finished[i].revision);
+      finished[i].setCancelled(m.finished[i].phase == JobPhase::cancelled);
     }
   }
 };
 
-Status read_status(wire::Status::Reader r) {
-  Status s;
+PeerStatus read_peer_status(wire::PeerStatus::Reader r) {
+  PeerStatus s;
   s.use = {r.getRequests(), r.getChanges()};
-  s.hears = r.getHears();
+  s.hears_workers = r.getHearsWorkers();
   s.features = r.getFeatures();
   if (r.hasConversion()) {
     const auto c = r.getConversion();
     s.conversion = ConversionProgress{c.getValuesLeft(), c.getValuesConverted(), c.getUnreadable(),
                                       c.getValuesPerS()};
   }
-  for (auto b : r.getParts()) {
-    PartNeed n;
+  for (auto b : r.getPartitions()) {
+    PartitionLoad n;
     n.waiting_cpus = b.getWaitingCpus();
     n.waiting_spot_cpus = b.getWaitingSpotCpus();
     n.waiting_service_cpus = b.getWaitingServiceCpus();
@@ -140,28 +141,30 @@
     n.wait_s = b.getWaitS();
     n.idle_cpus = b.getIdleCpus();
     n.idle_spot_cpus = b.getIdleSpotCpus();
-    n.rested_cpus = b.getRestedCpus();
-    n.rested_spot_cpus = b.getRestedSpotCpus();
+    n.releasable_cpus = b.getReleasableCpus();
+    n.releasable_spot_cpus = b.getReleasableSpotCpus();
     n.idle_machines = b.getIdleMachines();
     n.spot_cpus = b.getSpotCpus();
     n.waited_s = b.getWaitedS();
-    for (auto st : b.getUnplaceable()) n.unplaceable.emplace_back(st.getJob().cStr(), st.getCpus());
-    s.parts.emplace_back(b.getPart(), std::move(n));
+    for (auto st : b.getUnschedulable())
+      n.unschedulable.emplace_back(st.getJob().cStr(), st.getCpus());
+    s.partition_loads.emplace_back(b.getPartition(), std::move(n));
   }
   return s;
 }
 
-PromiseRequest read_promise_request(wire::PromiseRequest::Reader r) {
-  PromiseRequest a{r.getNumber(), r.getLifeMs(), {}, r.getLedger()};
-  for (auto p : r.getParts()) a.parts.emplace_back(p.getPart(), p.getStamp());
+VoteRequest read_vote_request(wire::VoteRequest::Reader r) {
+  VoteRequest a{r.getNumber(), r.getTtlMs(), {}, r.getStoreRevision()};
+  for (auto p : r.getPartitions()) a.partitions.emplace_back(p.getPartition(), p.getRevision());
   return a;
 }
 
-Promise read_promise(wire::Promise::Reader r) {
-  Promise p{r.getNumber(), r.getGiven(), {}};
-  for (auto c : r.getClosed())
-    p.closed.push_back(
-        {c.getJob().cStr(), c.getCancelled() ? JobPhase::cancelled : JobPhase::done, c.getStamp()});
+Vote read_vote(wire::Vote::Reader r) {
+  Vote p{r.getNumber(), r.getGranted(), {}};
+  for (auto c : r.getFinished())
+    p.finished.push_back({c.getJob().cStr(),
+                          c.getCancelled() ? JobPhase::cancelled : JobPhase::done,
+                          c.getRevision()});
   return p;
 }
 
@@ -169,31 +172,34 @@
   Message m;
   m.from = e.getFrom().cStr();
   switch (e.which()) {
-    case wire::Envelope::ASK:
-      m.body = Ask{e.getAsk().getNumber(), e.getAsk().getCancel(), e.getAsk().getJob().cStr()};
+    case wire::Envelope::JOB_QUERY:
+      m.body = JobQuery{e.getJobQuery().getNumber(), e.getJobQuery().getCancel(),
+                        e.getJobQuery().getJob().cStr()};
       break;
-    case wire::Envelope::ANSWER:
-      m.body = Answer{e.getAnswer().getNumber(), e.getAnswer().getStatus(),
-                      e.getAnswer().getBody().cStr()};
+    case wire::Envelope::JOB_QUERY_REPLY:
+      m.body = JobQueryReply{e.getJobQueryReply().getNumber(), e.getJobQueryReply().getStatus(),
+                             e.getJobQueryReply().getBody().cStr()};
       break;
-    case wire::Envelope::STATUS:
-      m.body = read_status(e.getStatus());
+    case wire::Envelope::PEER_STATUS:
+      m.body = read_peer_status(e.getPeerStatus());
       break;
-    case wire::Envelope::MOVE:
-      m.body = Move{e.getMove().getPart(), e.getMove().getTo(), e.getMove().getCpus(),
-                    e.getMove().getSpot()};
+    case wire::Envelope::TRANSFER_REQUEST:
+      m.body =
+          TransferRequest{e.getTransferRequest().getPartition(), e.getTransferRequest().getTo(),
+                          e.getTransferRequest().getCpus(), e.getTransferRequest().getSpot()};
       break;
-    case wire::Envelope::GONE:
-      m.body = Gone{names(e.getGone().getMachines())};
+    case wire::Envelope::MACHINES_TERMINATED:
+      m.body = MachinesTerminated{names(e.getMachinesTerminated().getMachines())};
       break;
-    case wire::Envelope::SHED:
-      m.body = Shed{e.getShed().getPart(), e.getShed().getCpus(), e.getShed().getDrain()};
+    case wire::Envelope::CORDON_REQUEST:
+      m.body = CordonRequest{e.getCordonRequest().getPartition(), e.getCordonRequest().getCpus(),
+                             e.getCordonRequest().getDrain()};
       break;
-    case wire::Envelope::PROMISE_REQUEST:
-      m.body = read_promise_request(e.getPromiseRequest());
+    case wire::Envelope::VOTE_REQUEST:
+      m.body = read_vote_request(e.getVoteRequest());
       break;
-    case wire::Envelope::PROMISE:
-      m.body = read_promise(e.getPromise());
+    case wire::Envelope::VOTE:
+      m.body = read_vote(e.getVote());
       break;
   }
   return m;
@@ -225,4 +231,4 @@
   return out;
 }
 
-}  // namespace eiderreel::mesh
+}  // namespace eiderreel::peer_rpc
--- a/src/peer_rpc/messages.h
+++ b/src/peer_rpc/messages.h
@@ -7,52 +7,53 @@
 
 #include "scheduler/partition_scheduler.h"
 
-namespace eiderreel::mesh {
+namespace eiderreel::peer_rpc {
 
-struct Ask {
+struct JobQuery {
   std::uint64_t number = 0;
   bool cancel = false;
   std::string job;
 };
-struct Answer {
+struct JobQueryReply {
   std::uint64_t number = 0;
   int status = 0;
   std::string body;
 };
-struct Status {
-  std::vector<std::pair<int, PartNeed>> parts;
-  BudgetUse use;               // of the state service by the sender
-  bool hears = true;           // whether it hears of workers
+struct PeerStatus {
+  std::vector<std::pair<int, PartitionLoad>> partition_loads;
+  StoreUsage use;              // of the state service by the sender
+  bool hears_workers = true;   // whether it hears of workers
   std::uint64_t features = 0;  // of the sender's build, see constants::kFeatures
   // Nothing: the sender takes no part in cluster versions.
   std::optional<ConversionProgress> conversion = std::nullopt;
 };
-struct Move {
-  int part = 0, to = -1;
+struct TransferRequest {
+  int partition = 0, to = -1;
   double cpus = 0;
   bool spot = false;
 };
-struct Gone {  // machines that the cloud has said to be gone
+struct MachinesTerminated {  // machines that the cloud has said to be gone
   std::vector<std::string> machines;
 };
-struct Shed {
-  int part = 0;
+struct CordonRequest {
+  int partition = 0;
   double cpus = 0;
   bool drain = false;  // also machines with services
 };
-struct PromiseRequest {
+struct VoteRequest {
   std::uint64_t number = 0;
-  Ms life = 0;
-  std::vector<std::pair<int, std::uint64_t>> parts;  // the sender's, with their revisions
-  std::uint64_t store_revision = 0;                  // of the sender's view
+  Ms ttl = 0;
+  std::vector<std::pair<int, std::uint64_t>> partitions;  // the sender's, with their revisions
+  std::uint64_t store_revision = 0;                       // of the sender's view
 };
-struct Promise {
+struct Vote {
   std::uint64_t number = 0;
-  bool given = false;
-  std::vector<ClosedJob> closed;  // all that ended after the asker's store revision
+  bool granted = false;
+  std::vector<FinishedJob> finished;  // all that ended after the asker's store revision
 };
 
-using Body = std::variant<Ask, Answer, Status, Move, PromiseRequest, Promise, Gone, Shed>;
+using Body = std::variant<JobQuery, JobQueryReply, PeerStatus, TransferRequest, VoteRequest, Vote,
+                          MachinesTerminated, CordonRequest>;
 struct Message {
   std::string from;
   Body body;
@@ -61,4 +62,4 @@
 std::string encode(const Message& m);  // without the frame's length
 std::optional<Message> decode(const std::string& bytes);
 
-}  // namespace eiderreel::mesh
+}  // namespace eiderreel::peer_rpc
--- a/src/peer_rpc/peer_messages.capnp
+++ b/src/peer_rpc/peer_messages.capnp
@@ -8,34 +8,34 @@
 struct Envelope {
   from @0 :Text;
   union {
-    ask @1 :Ask;
-    answer @2 :Answer;
-    status @3 :Status;
-    move @4 :Move;
-    promiseRequest @5 :PromiseRequest;
-    promise @6 :Promise;
-    gone @7 :Machines;
-    shed @8 :Shed;
+    jobQuery @1 :JobQuery;
+    jobQueryReply @2 :JobQueryReply;
+    peerStatus @3 :PeerStatus;
+    transferRequest @4 :TransferRequest;
+    voteRequest @5 :VoteRequest;
+    vote @6 :Vote;
+    machinesTerminated @7 :MachineList;
+    cordonRequest @8 :CordonRequest;
   }
 }
 
-struct Ask {                      # a user's request, passed on to the owner of its part
+struct JobQuery {                      # a user's request, passed on to the owner of its part
   number @0 :UInt64;
   cancel @1 :Bool;                # else a poll
   job @2 :Text;
 }
 
-struct Answer {
+struct JobQueryReply {
   number @0 :UInt64;
   status @1 :UInt16;              # 0: the asked node is not entitled to answer
   body @2 :Text;
 }
 
-struct Status {                   # news of load for the leader
-  parts @0 :List(Need);
+struct PeerStatus {                   # news of load for the leader
+  partitions @0 :List(PartitionLoad);
   requests @1 :Float64;           # of the state service, a second, that the sender takes
   changes @2 :Float64;
-  hears @3 :Bool = true;          # whether the sender hears of workers
+  hearsWorkers @3 :Bool = true;          # whether the sender hears of workers
   features @4 :UInt64;            # of the sender's build; 0: from before there were any
   conversion @5 :Conversion;      # null: the sender takes no part in cluster versions
 }
@@ -47,8 +47,8 @@
   valuesPerS @3 :Float64;
 }
 
-struct Need {
-  part @0 :UInt16;
+struct PartitionLoad {
+  partition @0 :UInt16;
   waitingCpus @1 :Float64;
   waitingSpotCpus @2 :Float64;
   waitingServiceCpus @3 :Float64;
@@ -59,57 +59,57 @@
   waitingCoreS @8 :Float64;
   slackS @9 :Float64;
   idleSpotCpus @10 :Float64;
-  restedCpus @11 :Float64;
-  restedSpotCpus @12 :Float64;
+  releasableCpus @11 :Float64;
+  releasableSpotCpus @12 :Float64;
   idleMachines @13 :UInt32;
   spotCpus @14 :Float64;
   waitS @15 :Float64;
-  unplaceable @16 :List(Unplaceable);   # jobs bound to a place that has too little room for them
+  unschedulable @16 :List(Unschedulable);   # jobs bound to a place that has too little room for them
   waitedS @17 :Float64;
 }
 
-struct Unplaceable {
+struct Unschedulable {
   job @0 :Text;
   cpus @1 :Float64;
 }
 
-struct Move {                     # the leader's advice: give idle machines to another part
-  part @0 :UInt16;
+struct TransferRequest {                     # the leader's advice: give idle machines to another part
+  partition @0 :UInt16;
   to @1 :Int16;                   # -1: release them, to be returned
   cpus @2 :Float64;               # up to so many; the owner chooses which
   spot @3 :Bool;                  # of this kind
 }
 
-struct Shed {                     # the leader's advice: let machines of this part run empty
-  part @0 :UInt16;
+struct CordonRequest {                     # the leader's advice: let machines of this part run empty
+  partition @0 :UInt16;
   cpus @1 :Float64;               # about so many; holds for a few seconds
   drain @2 :Bool;                 # also machines with services, which move to others
 }
 
-struct Machines {
+struct MachineList {
   machines @0 :List(Text);
 }
 
-struct PromiseRequest {                # not to claim these parts of the sender's for so long
+struct VoteRequest {                # not to claim these parts of the sender's for so long
   number @0 :UInt64;
-  lifeMs @1 :Int64;
-  parts @2 :List(OwnedPart);
-  ledger @3 :UInt64;              # all changes up to here are in the sender's view
+  ttlMs @1 :Int64;
+  partitions @2 :List(LedPartition);
+  storeRevision @3 :UInt64;              # all changes up to here are in the sender's view
 }
 
-struct OwnedPart {
-  part @0 :UInt16;
-  stamp @1 :UInt64;
+struct LedPartition {
+  partition @0 :UInt16;
+  revision @1 :UInt64;
 }
 
-struct Promise {
+struct Vote {
   number @0 :UInt64;
-  given @1 :Bool;
-  closed @2 :List(ClosedJob);     # all jobs that ended after the asker's ledger, as far as known
+  granted @1 :Bool;
+  finished @2 :List(FinishedJob);     # all jobs that ended after the asker's ledger, as far as known
 }
 
-struct ClosedJob {
+struct FinishedJob {
   job @0 :Text;
-  stamp @1 :UInt64;
+  revision @1 :UInt64;
   cancelled @2 :Bool;             # else done
 }
--- a/src/state_store/rate_limiter.cc
+++ b/src/state_store/rate_limiter.cc
@@ -7,18 +7,18 @@
 
 namespace k = constants;
 
-void RateLimiter::Budget::set_up(double limit, double controllers) {
+void RateLimiter::TokenBucket::set_up(double limit, double controllers) {
   total = limit * k::kBudgetShare;
   even = rate = tokens = total / controllers;
 }
 
-void RateLimiter::Budget::refill(double seconds, double spare) {
-  rate = even + spare;
+void RateLimiter::TokenBucket::refill(double seconds, double unused) {
+  rate = even + unused;
   tokens = std::min(rate, tokens + seconds * rate);
   used *= std::exp(-seconds * 1000.0 / k::kUseMs);
 }
 
-void RateLimiter::Budget::take(double n) {
+void RateLimiter::TokenBucket::take(double n) {
   tokens -= n;
   used += n * 1000.0 / k::kUseMs;
 }
@@ -29,7 +29,7 @@
   changes_.set_up(s.state_write_rps, controllers);
 }
 
-void RateLimiter::set_peer_use(const std::string& node, const BudgetUse& use, Ms now) {
+void RateLimiter::set_peer_use(const std::string& node, const StoreUsage& use, Ms now) {
   peers_[node] = {now, use};
 }
 
@@ -38,25 +38,26 @@
 void RateLimiter::refill(Ms now) {
   const double seconds = static_cast<double>(now - refilled_at_) / 1000.0;
   refilled_at_ = now;
-  BudgetUse spare;
+  StoreUsage unused;
   for (const auto& [node, peer] : peers_) {
     if (now - peer.at >= k::kStatusStaleMs) continue;
-    spare.requests += std::max(0.0, requests_.even - peer.use.requests);
-    spare.changes += std::max(0.0, changes_.even - peer.use.changes);
+    unused.requests += std::max(0.0, requests_.even - peer.use.requests);
+    unused.changes += std::max(0.0, changes_.even - peer.use.changes);
   }
-  requests_.refill(seconds, spare.requests * k::kSpareShare);
-  changes_.refill(seconds, spare.changes * k::kSpareShare);
+  requests_.refill(seconds, unused.requests * k::kBorrowedShare);
+  changes_.refill(seconds, unused.changes * k::kBorrowedShare);
 }
 
 // Users may run into debt up to what the others would have to leave unused: their changes are few,
 // and a refusal by the state service itself costs one more try.
-bool RateLimiter::allows(Pace pace, int changes) const {
-  if (pace == Pace::urgent) return true;
-  const double debt = pace == Pace::user ? 1 : 0;
+bool RateLimiter::allows(RequestPriority request_priority, int changes) const {
+  if (request_priority == RequestPriority::urgent) return true;
+  const double debt = request_priority == RequestPriority::user ? 1 : 0;
   if (requests_.tokens - 1 < -debt * (requests_.total - requests_.even)) return false;
   if (changes == 0) return true;
   const double want = std::min<double>(changes, changes_.rate - 0.5);
-  const double keep = pace == Pace::progress ? changes_.even * k::kProgressKeep : 0;
+  const double keep =
+      request_priority == RequestPriority::progress ? changes_.even * k::kProgressKeep : 0;
   return changes_.tokens - want - std::min(keep, changes_.rate - 0.5 - want) >=
          -debt * (changes_.total - changes_.even);
 }
--- a/src/state_store/reads.cc
+++ b/src/state_store/reads.cc
@@ -13,7 +13,7 @@
                             std::function<void(std::optional<codec::StateRow>)> done) {
   submit({{"", "GET", "/kv/" + key, "", k::kStateTimeoutMs},
           0,
-          Pace::user,
+          RequestPriority::user,
           0,
           [key, done = std::move(done)](HttpReply r) {
             if (r.status == 404) {
@@ -39,7 +39,7 @@
   if (!since.empty()) path += "&since=" + since;
   submit({{"", "GET", path, "", k::kStateTimeoutMs * 2},
           0,
-          Pace::urgent,
+          RequestPriority::urgent,
           0,
           [this, prefix, rows, done = std::move(done)](HttpReply r) {
             auto page = r.status == 200 ? codec::parse_list(r.body) : std::nullopt;
@@ -61,7 +61,7 @@
 // followed yet.
 void StateStoreClient::resolve() {
   const auto& unresolved = replica_.unresolved();
-  const Ms now = rt_.now();
+  const Ms now = runtime_.now();
   if (unresolved.empty() || resolving_) {
     resolve_at_ = now + k::kRetryMs;
     return;
@@ -86,7 +86,7 @@
                            "&since=" + codec::before_final_key(ids->back());
   submit({{"", "GET", path, "", k::kStateTimeoutMs},
           0,
-          Pace::user,
+          RequestPriority::user,
           0,
           [this, ids, done = std::move(done)](HttpReply r) {
             auto page = r.status == 200 ? codec::parse_list(r.body) : std::nullopt;
@@ -117,7 +117,8 @@
     std::shared_ptr<std::set<std::string>> found,
     std::function<void(std::optional<std::set<std::string>>)> done) {
   if (from >= ids->size()) return done(std::move(*found));
-  const auto group = static_cast<std::size_t>(s_.state_txn_ops * k::kPreconditionsPerChange / 2);
+  const auto group =
+      static_cast<std::size_t>(settings_.state_txn_ops * k::kPreconditionsPerChange / 2);
   const std::size_t end = std::min(ids->size(), from + group);
   std::vector<codec::Precondition> absent;
   for (std::size_t i = from; i < end; ++i) {
@@ -125,20 +126,23 @@
     absent.push_back({codec::final_key((*ids)[i]), 0});
   }
   // Many at once leave the requests to users who ask for less.
-  const Pace pace = ids->size() > group ? Pace::fleet : Pace::user;
-  compare(std::move(absent), pace, [=, this](std::optional<Comparison> c) {
+  const RequestPriority request_priority =
+      ids->size() > group ? RequestPriority::fleet : RequestPriority::user;
+  compare(std::move(absent), request_priority, [=, this](std::optional<Comparison> c) {
     if (!c) return done(std::nullopt);
     for (const auto& key : c->failed) found->insert(codec::key_name(key));
     find_next_accepted(ids, end, found, done);
   });
 }
 
-void StateStoreClient::compare(std::vector<codec::Precondition> preconditions, Pace pace,
+void StateStoreClient::compare(std::vector<codec::Precondition> preconditions,
+                               RequestPriority request_priority,
                                std::function<void(std::optional<Comparison>)> done) {
   submit(
-      {{"", "POST", "/commit", codec::commit_body(preconditions, {}, grant_), k::kStateTimeoutMs},
+      {{"", "POST", "/commit", codec::commit_body(preconditions, {}, lease_id_),
+        k::kStateTimeoutMs},
        0,
-       pace,
+       request_priority,
        0,
        [done = std::move(done)](HttpReply r) {
          const auto store_revision = codec::parse_number(r.body, "ledger");
@@ -154,11 +158,12 @@
   auto once = [done = std::move(done), called = std::make_shared<bool>(false)](bool caught_up) {
     if (!std::exchange(*called, true)) done(caught_up);
   };
-  compare({{codec::node_key(s_.node), 0}}, Pace::user, [this, once](std::optional<Comparison> c) {
-    if (!c) return once(false);
-    when_seen(c->store_revision, [once] { once(true); });
-    rt_.after(k::kStateTimeoutMs, [once] { once(false); });
-  });
+  compare({{codec::node_key(settings_.node), 0}}, RequestPriority::user,
+          [this, once](std::optional<Comparison> c) {
+            if (!c) return once(false);
+            when_applied(c->store_revision, [once] { once(true); });
+            runtime_.after(k::kStateTimeoutMs, [once] { once(false); });
+          });
 }
 
 }  // namespace eiderreel
--- a/src/state_store/replicated_view.cc
+++ b/src/state_store/replicated_view.cc
@@ -15,11 +15,11 @@
 }  // namespace
 
 void ReplicatedView::begin_load(std::uint64_t store_revision) {
-  closed_from_ = store_revision;
-  closed_.clear();
+  finished_complete_from_ = store_revision;
+  finished_.clear();
 }
 
-void ReplicatedView::followed(std::uint64_t store_revision) {
+void ReplicatedView::applied_up_to(std::uint64_t store_revision) {
   view_.store_revision = store_revision;
   if (std::exchange(view_.ready, true)) return;
   find_unresolved();
@@ -27,22 +27,22 @@
 
 void ReplicatedView::remove_missing(const std::set<std::string>& loaded,
                                     std::uint64_t store_revision) {
-  auto gone = [&](const std::string& key) { return !loaded.count(key); };
+  auto is_missing = [&](const std::string& key) { return !loaded.count(key); };
   std::vector<std::string> missing;
   for (const auto& [id, e] : view_.jobs)
-    if (gone(codec::job_key(id))) missing.push_back(codec::job_key(id));
+    if (is_missing(codec::job_key(id))) missing.push_back(codec::job_key(id));
   for (const auto& [id, e] : view_.machines)
-    if (gone(codec::machine_key(id))) missing.push_back(codec::machine_key(id));
+    if (is_missing(codec::machine_key(id))) missing.push_back(codec::machine_key(id));
   for (const auto& [id, e] : view_.nodes)
-    if (gone(codec::node_key(id))) missing.push_back(codec::node_key(id));
-  for (const auto& [id, e] : view_.parts)
-    if (gone(codec::part_key(id))) missing.push_back(codec::part_key(id));
-  if (view_.cluster.revision != 0 && gone(codec::version_key()))
+    if (is_missing(codec::node_key(id))) missing.push_back(codec::node_key(id));
+  for (const auto& [id, e] : view_.partitions)
+    if (is_missing(codec::partition_key(id))) missing.push_back(codec::partition_key(id));
+  if (view_.cluster.revision != 0 && is_missing(codec::version_key()))
     missing.push_back(codec::version_key());
-  for (const auto& [spread, parts] : spread_parts_)
-    for (const auto& [number, part] : parts) {
-      const std::string key = codec::prerequisite_key(spread.first, spread.second, number);
-      if (gone(key)) missing.push_back(key);
+  for (const auto& [list, chunks] : prerequisite_chunks_)
+    for (const auto& [number, chunk] : chunks) {
+      const std::string key = codec::prerequisite_key(list.first, list.second, number);
+      if (is_missing(key)) missing.push_back(key);
     }
   for (const auto& key : missing) {
     codec::StateRow r;
@@ -56,10 +56,10 @@
 void ReplicatedView::remember_final(const std::string& id, const DependencyGraph::End& end) {
   unresolved_.erase(id);
   if (!view_.finals.emplace(id, end).second) return;
-  closed_.push_back({id, end.phase, end.revision});
-  if (closed_.size() > k::kClosedKept) {
-    closed_from_ = std::max(closed_from_, closed_.front().revision);
-    closed_.pop_front();
+  finished_.push_back({id, end.phase, end.revision});
+  if (finished_.size() > k::kFinishedKept) {
+    finished_complete_from_ = std::max(finished_complete_from_, finished_.front().revision);
+    finished_.pop_front();
   }
   final_order_.push_back(id);
   if (final_order_.size() > k::kFinalCache) {
@@ -82,18 +82,18 @@
     if (!view_.jobs.count(id)) unresolved_.insert(id);
 }
 
-std::optional<std::vector<ClosedJob>> ReplicatedView::closed_since(
+std::optional<std::vector<FinishedJob>> ReplicatedView::finished_since(
     std::uint64_t store_revision) const {
-  if (!view_.ready || store_revision < closed_from_) return std::nullopt;
-  std::vector<ClosedJob> out;
-  for (const auto& c : closed_)
+  if (!view_.ready || store_revision < finished_complete_from_) return std::nullopt;
+  std::vector<FinishedJob> out;
+  for (const auto& c : finished_)
     if (c.revision > store_revision) out.push_back(c);
   return out;
 }
 
-void ReplicatedView::take_closed(const std::vector<ClosedJob>& closed) {
-  for (const auto& c : closed) {
-    remember_final(c.id, {c.phase, c.revision, rt_.wall()});
+void ReplicatedView::merge_finished(const std::vector<FinishedJob>& finished) {
+  for (const auto& c : finished) {
+    remember_final(c.id, {c.phase, c.revision, runtime_.wall()});
     codec::StateRow record;
     record.key = codec::job_key(c.id);
     record.deleted = true;
@@ -102,13 +102,13 @@
   }
 }
 
-void ReplicatedView::take_claim(int part, const std::string& owner, std::uint64_t revision) {
+void ReplicatedView::merge_claim(int partition, const std::string& leader, std::uint64_t revision) {
   // Guard: an older claim may have ended within our view, and the changes will not tell so again.
   if (revision <= view_.store_revision) return;
   codec::StateRow claim;
-  claim.key = codec::part_key(part);
+  claim.key = codec::partition_key(partition);
   claim.revision = revision;
-  claim.part = codec::PartRecord{owner, 0};
+  claim.partition = codec::PartitionRecord{leader, 0};
   apply(claim, true);
 }
 
@@ -119,11 +119,12 @@
   if (under(row.key, "e/job/")) {
     apply_job(name, row, announce);
   } else if (under(row.key, "e/awaits/")) {
-    apply_part(row);
+    apply_chunk(row);
   } else if (under(row.key, "e/final/")) {
     // Earlier builds did not write the time: it is not later than its telling.
     if (row.final_phase)
-      remember_final(name, {*row.final_phase, row.revision, row.final_at.value_or(rt_.wall())});
+      remember_final(name,
+                     {*row.final_phase, row.revision, row.final_at.value_or(runtime_.wall())});
   } else if (under(row.key, "e/machine/")) {
     auto& m = view_.machines;
     auto it = m.find(name);
@@ -138,14 +139,14 @@
   } else if (row.key == codec::version_key()) {
     apply_version(row);
   } else if (under(row.key, "e/part/")) {
-    const int part = std::atoi(name.c_str());
-    auto it = view_.parts.find(part);
-    if (it != view_.parts.end() && it->second.revision >= row.revision) return;
+    const int partition = std::atoi(name.c_str());
+    auto it = view_.partitions.find(partition);
+    if (it != view_.partitions.end() && it->second.revision >= row.revision) return;
     if (row.deleted)
-      view_.parts.erase(part);
-    else if (row.part)
-      view_.parts[part] = {row.part->owner, row.revision, row.part->grant};
-    if (announce) events_.part_changed(part);
+      view_.partitions.erase(partition);
+    else if (row.partition)
+      view_.partitions[partition] = {row.partition->leader, row.revision, row.partition->lease_id};
+    if (announce) events_.partition_changed(partition);
   }
 }
 
@@ -160,8 +161,8 @@
   // Under the same lease it has been there all the time, and only names another version now.
   const bool same_lease = known != view_.nodes.end() &&
                           known->second.record.boot == row.node->boot &&
-                          known->second.record.grant == row.node->grant;
-  const Ms seen = same_lease ? known->second.seen : rt_.now();
+                          known->second.record.lease_id == row.node->lease_id;
+  const Ms seen = same_lease ? known->second.seen : runtime_.now();
   view_.nodes[name] = {*row.node, row.revision, seen};
 }
 
@@ -197,13 +198,13 @@
 
 void ReplicatedView::open_job(const std::string& id, const codec::StateRow& row, bool announce) {
   codec::StateRow whole = row;
-  if (!take_parts(id, whole)) {
+  if (!collect_chunks(id, whole)) {
     incomplete_[id] = row;
     return;
   }
   incomplete_.erase(id);
   unresolved_.erase(id);
-  View::JobEntry& entry = view_.jobs[id];
+  ClusterView::JobEntry& entry = view_.jobs[id];
   entry = {std::move(*whole.job), whole.revision, whole.nonce};
   if (!entry.spec.prerequisites.empty()) open_dependent(entry.spec, whole.revision);
   if (announce) events_.job_opened(id);
@@ -228,53 +229,55 @@
 // ------------------------------------------------------------- prerequisites in several values
 
 // Adds the prerequisites that stand in values of their own; false while some are not here yet.
-bool ReplicatedView::take_parts(const std::string& id, codec::StateRow& row) {
-  if (row.prerequisite_parts == 0) return true;
-  const auto parts = spread_parts_.find({id, row.nonce});
-  if (parts == spread_parts_.end() || parts->second.size() < row.prerequisite_parts) return false;
+bool ReplicatedView::collect_chunks(const std::string& id, codec::StateRow& row) {
+  if (row.prerequisite_chunks == 0) return true;
+  const auto chunks = prerequisite_chunks_.find({id, row.nonce});
+  if (chunks == prerequisite_chunks_.end() || chunks->second.size() < row.prerequisite_chunks)
+    return false;
   auto& prerequisites = row.job->prerequisites;
-  for (auto& [number, part] : parts->second) {
-    prerequisites.insert(prerequisites.end(), part.jobs.begin(), part.jobs.end());
-    part.jobs = {};
+  for (auto& [number, chunk] : chunks->second) {
+    prerequisites.insert(prerequisites.end(), chunk.jobs.begin(), chunk.jobs.end());
+    chunk.jobs = {};
   }
   return true;
 }
 
-void ReplicatedView::apply_part(const codec::StateRow& row) {
+void ReplicatedView::apply_chunk(const codec::StateRow& row) {
   const auto key = codec::parse_prerequisite_key(row.key);
   if (!key) return;
-  const SpreadKey spread{key->job, key->nonce};
+  const PrerequisiteListKey spread{key->job, key->nonce};
   if (row.deleted) {
-    auto parts = spread_parts_.find(spread);
-    if (parts == spread_parts_.end()) return;
-    parts->second.erase(key->part);
-    if (parts->second.empty()) spread_parts_.erase(parts);
+    auto chunks = prerequisite_chunks_.find(spread);
+    if (chunks == prerequisite_chunks_.end()) return;
+    chunks->second.erase(key->chunk);
+    if (chunks->second.empty()) prerequisite_chunks_.erase(chunks);
     return;
   }
   if (!row.prerequisites) return;
-  SpreadPart& part = spread_parts_[spread][key->part];
-  if (part.seen == 0) part.seen = rt_.now();
+  PrerequisiteChunkEntry& chunk = prerequisite_chunks_[spread][key->chunk];
+  if (chunk.seen == 0) chunk.seen = runtime_.now();
   if (view_.jobs.count(key->job) || view_.finals.count(key->job)) return;  // of no more use
-  part.jobs = row.prerequisites->jobs;
+  chunk.jobs = row.prerequisites->jobs;
   if (const auto waiting = incomplete_.find(key->job); waiting != incomplete_.end())
     open_job(key->job, codec::StateRow(waiting->second), view_.ready);
 }
 
-bool ReplicatedView::is_orphaned(const SpreadKey& key, const SpreadPart& part) const {
+bool ReplicatedView::is_orphaned(const PrerequisiteListKey& key,
+                                 const PrerequisiteChunkEntry& chunk) const {
   const auto& [id, nonce] = key;
   if (view_.finals.count(id)) return true;
   const auto job = view_.jobs.find(id);
   if (job != view_.jobs.end()) return job->second.nonce != nonce;
-  return !incomplete_.count(id) && rt_.now() - part.seen >= k::kOrphanedPartsMs;
+  return !incomplete_.count(id) && runtime_.now() - chunk.seen >= k::kOrphanedChunksMs;
 }
 
-std::vector<std::string> ReplicatedView::orphaned_parts(std::size_t most) const {
+std::vector<std::string> ReplicatedView::orphaned_chunks(std::size_t most) const {
   std::vector<std::string> out;
-  for (const auto& [key, parts] : spread_parts_)
-    for (auto part = parts.rbegin(); part != parts.rend(); ++part) {
+  for (const auto& [key, chunks] : prerequisite_chunks_)
+    for (auto chunk = chunks.rbegin(); chunk != chunks.rend(); ++chunk) {
       if (out.size() == most) return out;
-      if (is_orphaned(key, part->second))
-        out.push_back(codec::prerequisite_key(key.first, key.second, part->first));
+      if (is_orphaned(key, chunk->second))
+        out.push_back(codec::prerequisite_key(key.first, key.second, chunk->first));
     }
   return out;
 }
--- a/src/state_store/replicated_view.h
+++ b/src/state_store/replicated_view.h
@@ -20,10 +20,10 @@
 namespace eiderreel {
 
 // What the followed keys say. Read by the other actors, changed by the state store client alone.
-struct View {
-  struct PartEntry {
-    std::string owner;
-    std::uint64_t revision = 0, grant = 0;
+struct ClusterView {
+  struct PartitionEntry {
+    std::string leader;
+    std::uint64_t revision = 0, lease_id = 0;
   };
   struct MachineEntry {
     codec::MachineRecord record;
@@ -41,7 +41,7 @@
   };
   bool ready = false;
   std::uint64_t store_revision = 0;  // all changes up to here are in
-  std::map<int, PartEntry> parts;
+  std::map<int, PartitionEntry> partitions;
   std::map<std::string, MachineEntry> machines;
   std::map<std::string, NodeEntry> nodes;
   std::unordered_map<std::string, JobEntry> jobs;
@@ -58,19 +58,19 @@
     using OfId = std::function<void(const std::string& id)>;
     // A job is ready when its last prerequisite is done, and not only opened.
     OfId job_opened, job_ready, job_closed, urgency_changed, machine_changed;
-    std::function<void(int part)> part_changed;
+    std::function<void(int partition)> partition_changed;
   };
 
-  explicit ReplicatedView(Runtime& rt) : rt_(rt) {}
+  explicit ReplicatedView(Runtime& runtime) : runtime_(runtime) {}
   void start(Events events) { events_ = std::move(events); }
-  const View& view() const { return view_; }
+  const ClusterView& view() const { return view_; }
 
   // Keys are listed anew: which jobs ended since the changes that were missed is not known.
   void begin_load(std::uint64_t store_revision);
   // What an earlier view had and the list has not is gone.
   void remove_missing(const std::set<std::string>& loaded, std::uint64_t store_revision);
   // All changes up to here are in.
-  void followed(std::uint64_t store_revision);
+  void applied_up_to(std::uint64_t store_revision);
   void apply(const codec::StateRow& row, bool announce);
   void apply_commit(const std::vector<codec::Write>& writes, std::uint64_t store_revision);
   void remember_final(const std::string& id, const DependencyGraph::End& end);
@@ -82,44 +82,44 @@
     return view_.dependencies.depends_on(id, unresolved_);
   }
   // Keys of spread prerequisites that belong to no open job.
-  std::vector<std::string> orphaned_parts(std::size_t most) const;
+  std::vector<std::string> orphaned_chunks(std::size_t most) const;
   // All jobs that this node knows to have ended after `store_revision`; nullopt when it cannot
   // tell.
-  std::optional<std::vector<ClosedJob>> closed_since(std::uint64_t store_revision) const;
+  std::optional<std::vector<FinishedJob>> finished_since(std::uint64_t store_revision) const;
   // What a peer knows to be over is over in our view too.
-  void take_closed(const std::vector<ClosedJob>& closed);
+  void merge_finished(const std::vector<FinishedJob>& finished);
   // A peer has claimed a part after all changes that our view has.
-  void take_claim(int part, const std::string& owner, std::uint64_t revision);
+  void merge_claim(int partition, const std::string& leader, std::uint64_t revision);
   // An earlier process of this node has ended its grant.
   void forget_node(const std::string& node) { view_.nodes.erase(node); }
 
  private:
-  struct SpreadPart {
+  struct PrerequisiteChunkEntry {
     std::vector<std::string> jobs;
     Ms seen = 0;
   };
-  using SpreadKey = std::pair<std::string, std::string>;  // job and nonce
+  using PrerequisiteListKey = std::pair<std::string, std::string>;  // job and nonce
 
   void apply_job(const std::string& id, const codec::StateRow& row, bool announce);
-  void apply_part(const codec::StateRow& row);
+  void apply_chunk(const codec::StateRow& row);
   void apply_node(const std::string& name, const codec::StateRow& row);
   void apply_version(const codec::StateRow& row);
   void open_job(const std::string& id, const codec::StateRow& row, bool announce);
   void open_dependent(JobSpec& spec, std::uint64_t revision);
-  bool take_parts(const std::string& id, codec::StateRow& row);
-  bool is_orphaned(const SpreadKey& key, const SpreadPart& part) const;
+  bool collect_chunks(const std::string& id, codec::StateRow& row);
+  bool is_orphaned(const PrerequisiteListKey& key, const PrerequisiteChunkEntry& chunk) const;
   void find_unresolved();
   void publish(const DependencyGraph::Effects& effects);
 
-  Runtime& rt_;
+  Runtime& runtime_;
   Events events_;
-  View view_;
+  ClusterView view_;
   std::list<std::string> final_order_;
   // Jobs that ended, as they were learnt; whole for all that ended after `closed_from_`.
-  std::deque<ClosedJob> closed_;
-  std::uint64_t closed_from_ = 0;
+  std::deque<FinishedJob> finished_;
+  std::uint64_t finished_complete_from_ = 0;
   std::set<std::string> unresolved_;
-  std::map<SpreadKey, std::map<std::size_t, SpreadPart>> spread_parts_;
+  std::map<PrerequisiteListKey, std::map<std::size_t, PrerequisiteChunkEntry>> prerequisite_chunks_;
   std::map<std::string, codec::StateRow> incomplete_;  // jobs that lack some of their parts
 };
 
--- a/src/state_store/state_store_client.h
+++ b/src/state_store/state_store_client.h
@@ -16,7 +16,7 @@
 
 namespace eiderreel {
 
-enum class Outcome {
+enum class CasOutcome {
   ok,          // it is durable
   conflict,    // a guard failed: nothing was done, and nothing will be
   superseded,  // a guard on an absent key failed after a try without answer: somebody else's write
@@ -32,13 +32,13 @@
   explicit_,   // its own preconditions say it all
 };
 
-struct Commit {
+struct CompareAndSwap {
   std::vector<codec::Precondition> preconditions;
   std::vector<codec::Write> writes;  // the first one puts a value with the nonce of this commit
   std::string nonce;
-  Pace pace = Pace::user;
+  RequestPriority request_priority = RequestPriority::user;
   int tries = constants::kCommitTries;
-  std::function<void(Outcome, std::uint64_t store_revision)> done;
+  std::function<void(CasOutcome, std::uint64_t store_revision)> done;
   // A try of it is without answer. Guard: a later try that is refused says nothing of that one, so
   // whoever tries again after `unknown` sends this same commit with its doubt kept.
   bool doubt = false;
@@ -53,27 +53,27 @@
     std::uint64_t refused_here = 0;        // over our own budget
   };
 
-  StateStoreClient(Runtime& rt, const Settings& s);
-  void start(ReplicatedView::Events events, std::function<void()> grant_lost);
+  StateStoreClient(Runtime& runtime, const Settings& settings);
+  void start(ReplicatedView::Events events, std::function<void()> lease_lost);
   void tick();
 
-  const View& view() const { return replica_.view(); }
+  const ClusterView& view() const { return replica_.view(); }
   ReplicatedView& replica() { return replica_; }
   const ReplicatedView& replica() const { return replica_; }
-  std::uint64_t grant() const { return grant_; }
+  std::uint64_t lease_id() const { return lease_id_; }
   // Invariant 6: counted from the sending of the last good extend, less drift.
-  bool grant_alive() const { return grant_ != 0 && rt_.now() < alive_until_; }
+  bool lease_alive() const { return lease_id_ != 0 && runtime_.now() < lease_valid_until_; }
   Ms last_good() const { return last_good_; }
   const upgrade::ActingVersion& acting_version() const { return acting_version_; }
   upgrade::ProgressPolicy progress_policy() const {
     return upgrade::progress_policy(acting_version_.version());
   }
   // Why this controller must not act at all; empty: it may.
-  std::string stands_aside() const { return acting_version_.obstacle(view().cluster); }
+  std::string standby_reason() const { return acting_version_.obstacle(view().cluster); }
   // Marks a value as written by this process.
   std::string nonce();
 
-  void commit(Commit c);
+  void compare_and_swap(CompareAndSwap c);
   // Linearizable read. `row.revision` 0: the key does not exist. Fails with nullopt.
   void read(const std::string& key, std::function<void(std::optional<codec::StateRow>)> done);
   void list(const std::string& prefix,
@@ -88,10 +88,10 @@
   // service does not tell.
   void catch_up(std::function<void(bool)> done);
   // Calls back once the view has all changes up to `store_revision`.
-  void when_seen(std::uint64_t store_revision, std::function<void()> done);
+  void when_applied(std::uint64_t store_revision, std::function<void()> done);
   // What this node takes of the budgets, for its peers; and what a peer has said that it takes.
-  BudgetUse use() const { return rate_limiter_.use(); }
-  void peer_use(const std::string& node, const BudgetUse& use);
+  StoreUsage use() const { return rate_limiter_.use(); }
+  void peer_use(const std::string& node, const StoreUsage& use);
   const Counters& counters() const { return counters_; }
   std::size_t pending() const { return queue_.size(); }
 
@@ -99,7 +99,7 @@
   struct Pending {
     HttpRequest request;
     int writes = 0;
-    Pace pace = Pace::user;
+    RequestPriority request_priority = RequestPriority::user;
     Ms expires = 0;
     std::function<void(HttpReply)> done;
   };
@@ -107,7 +107,7 @@
     std::vector<std::string> failed;
     std::uint64_t store_revision = 0;
   };
-  void compare(std::vector<codec::Precondition> preconditions, Pace pace,
+  void compare(std::vector<codec::Precondition> preconditions, RequestPriority request_priority,
                std::function<void(std::optional<Comparison>)> done);
   void resolve();
   void read_next_ends(std::shared_ptr<std::vector<std::string>> ids,
@@ -117,46 +117,48 @@
                           std::function<void(std::optional<std::set<std::string>>)> done);
   void submit(Pending p);
   void enqueue(Pending p);
-  void pump();
-  Ms follow_pause() const;
-  void get_grant();
-  void extend();
-  void begin_follow();
+  void send_queued_requests();
+  Ms watch_pause() const;
+  void acquire_lease();
+  void renew_lease();
+  void begin_watch();
   void load(std::size_t prefix, std::string since);
-  void follow(Ms wait);
-  void try_commit(std::shared_ptr<Commit> c, int tries);
-  void commit_answered(const std::shared_ptr<Commit>& c, int tries,
-                       const std::optional<codec::Precondition>& guard, const HttpReply& r);
-  bool is_bound(const Commit& c) const;
-  codec::Precondition version_guard(const Commit& c) const;
-  void try_without_record(const std::shared_ptr<Commit>& c, int tries);
-  void version_changed(const std::shared_ptr<Commit>& c, int tries, std::uint64_t guard_revision);
-  void log_stand_aside();
+  void watch(Ms wait);
+  void try_swap(std::shared_ptr<CompareAndSwap> c, int tries);
+  void on_swap_reply(const std::shared_ptr<CompareAndSwap>& c, int tries,
+                     const std::optional<codec::Precondition>& guard, const HttpReply& r);
+  bool is_bound(const CompareAndSwap& c) const;
+  codec::Precondition version_precondition(const CompareAndSwap& c) const;
+  void try_without_record(const std::shared_ptr<CompareAndSwap>& c, int tries);
+  void version_changed(const std::shared_ptr<CompareAndSwap>& c, int tries,
+                       std::uint64_t guard_revision);
+  void log_standby();
   void write_node_record();
-  void read_back(std::shared_ptr<Commit> c, std::uint64_t store_revision, int tries);
+  void read_back(std::shared_ptr<CompareAndSwap> c, std::uint64_t store_revision, int tries);
   void list_from(const std::string& prefix, const std::string& since,
                  std::shared_ptr<std::vector<codec::StateRow>> rows,
                  std::function<void(std::optional<std::vector<codec::StateRow>>)> done);
-  void announce_seen();
+  void notify_revision_waiters();
 
-  Runtime& rt_;
-  const Settings& s_;
+  Runtime& runtime_;
+  const Settings& settings_;
   ReplicatedView replica_;
-  std::function<void()> grant_lost_;
-  std::uint64_t grant_ = 0;
-  Ms alive_until_ = 0, last_extend_ = 0, last_good_ = 0;
-  bool granting_ = false, extending_ = false, node_written_ = false, writing_node_ = false;
+  std::function<void()> on_lease_lost_;
+  std::uint64_t lease_id_ = 0;
+  Ms lease_valid_until_ = 0, last_renewal_ = 0, last_good_ = 0;
+  bool acquiring_lease_ = false, renewing_lease_ = false, node_written_ = false,
+       writing_node_ = false;
   bool resolving_ = false;
   Ms resolve_at_ = 0;
   upgrade::ActingVersion acting_version_;
-  std::string told_aside_;  // what was last logged of it
-  std::uint64_t follow_since_ = 0;
+  std::string logged_standby_reason_;  // what was last logged of it
+  std::uint64_t watch_revision_ = 0;
   std::set<std::string> loaded_;  // keys met while listing anew
   std::deque<Pending> queue_;
   RateLimiter rate_limiter_;
   int in_flight_ = 0;
   std::uint64_t nonce_counter_ = 0;
-  std::multimap<std::uint64_t, std::function<void()>> waiting_;
+  std::multimap<std::uint64_t, std::function<void()>> revision_waiters_;
   Counters counters_;
 };
 
--- a/src/upgrade/coordinator.cc
+++ b/src/upgrade/coordinator.cc
@@ -61,7 +61,7 @@
 
 StepPlan Coordinator::plan_now(const StepRequest& request) const {
   StepPlan plan = plan_step(request, state_store_.view().cluster, controllers());
-  const std::string aside = state_store_.stands_aside();
+  const std::string aside = state_store_.standby_reason();
   if (!aside.empty())
     plan.obstacles.push_back({settings_.node, "stands aside: " + aside});
   else if (!state_store_.view().nodes.count(settings_.node))
@@ -73,7 +73,7 @@
   ConversionReport report;
   const auto& version = state_store_.view().cluster.version;
   if (version) report.to = progress_policy(*version).convert_to;
-  report.unknown_partitions = owner_.unheard_parts();
+  report.unknown_partitions = partition_leader_.unheard_partitions();
   auto add = [&](const std::optional<ConversionProgress>& one) {
     if (!one) return;
     report.sum.values_left += one->values_left;
@@ -81,19 +81,19 @@
     report.sum.unreadable += one->unreadable;
     report.sum.values_per_s += one->values_per_s;
   };
-  add(owner_.conversion());
-  for (const Peer& peer : settings_.peers) add(owner_.peer_conversion(peer.name));
+  add(partition_leader_.conversion());
+  for (const Peer& peer : settings_.peers) add(partition_leader_.peer_conversion(peer.name));
   return report;
 }
 
 StatusReport Coordinator::status() const {
-  const View& view = state_store_.view();
+  const ClusterView& view = state_store_.view();
   StatusReport report;
   report.controller = settings_.node;
   report.enabled = enabled();
-  report.stands_aside = state_store_.stands_aside();
-  report.current = view.ready &&
-                   runtime_.now() - state_store_.last_good() < k::kFollowWaitMs + k::kStateSilentMs;
+  report.standby_reason = state_store_.standby_reason();
+  report.current =
+      view.ready && runtime_.now() - state_store_.last_good() < k::kWatchWaitMs + k::kStateSilentMs;
   report.cluster = view.cluster;
   if (view.version_record) {
     report.changed_by = view.version_record->who;
@@ -203,7 +203,7 @@
 
 void Coordinator::commit_step(const PendingStep& step) {
   const StepOrder& order = step->order;
-  Commit c;
+  CompareAndSwap c;
   c.nonce = state_store_.nonce();
   c.binding = VersionBinding::explicit_;
   c.tries = k::kStepTries;
@@ -213,26 +213,26 @@
   const StepRecord history = record_of(*step, StepOutcome::taken);
   c.writes = {{codec::version_key(), codec::encode(record, c.nonce), false},
               {codec::history_key(now, c.nonce), encode_bounded(history, c.nonce), false}};
-  c.done = [this, step](Outcome outcome, std::uint64_t) { committed(step, outcome); };
+  c.done = [this, step](CasOutcome outcome, std::uint64_t) { committed(step, outcome); };
   spdlog::info("version step from={} to={} who={} request={}", to_string(step->plan.from),
                to_string(*step->plan.to), order.who, order.request);
-  state_store_.commit(std::move(c));
+  state_store_.compare_and_swap(std::move(c));
 }
 
 // Guard: a step in doubt is not tried under another name. Its own preconditions let it land at most
 // once, and whether it has is read from the durable version.
-void Coordinator::committed(const PendingStep& step, Outcome outcome) {
+void Coordinator::committed(const PendingStep& step, CasOutcome outcome) {
   switch (outcome) {
-    case Outcome::ok:
+    case CasOutcome::ok:
       return end(step, StepOutcome::taken);
-    case Outcome::conflict:
+    case CasOutcome::conflict:
       step->plan.obstacles.push_back({"", "the version or a controller's record has changed"});
       return end(step, StepOutcome::changed);
-    case Outcome::refused:
+    case CasOutcome::refused:
       step->plan.obstacles.push_back({"", "the state service refused"});
       return end(step, StepOutcome::failed);
-    case Outcome::superseded:
-    case Outcome::unknown:
+    case CasOutcome::superseded:
+    case CasOutcome::unknown:
       break;
   }
   step_in_doubt_ = step->order.request;
@@ -272,33 +272,33 @@
 }
 
 void Coordinator::write_record(const StepRecord& record) {
-  Commit c;
+  CompareAndSwap c;
   c.nonce = state_store_.nonce();
-  c.pace = Pace::fleet;
+  c.request_priority = RequestPriority::fleet;
   const std::string key = codec::history_key(record.at, c.nonce);
   c.preconditions = {{key, 0}};
   c.writes = {{key, encode_bounded(record, c.nonce), false}};
-  c.done = [this, request = record.request](Outcome outcome, std::uint64_t) {
-    if (outcome != Outcome::ok) spdlog::warn("version step not recorded request={}", request);
+  c.done = [this, request = record.request](CasOutcome outcome, std::uint64_t) {
+    if (outcome != CasOutcome::ok) spdlog::warn("version step not recorded request={}", request);
     delete_old_records();
   };
-  state_store_.commit(std::move(c));
+  state_store_.compare_and_swap(std::move(c));
 }
 
 void Coordinator::delete_old_records() {
   state_store_.list(codec::history_prefix(), [this](auto rows) {
     if (!rows || rows->size() <= k::kHistoryKept) return;
-    Commit c;
+    CompareAndSwap c;
     c.nonce = state_store_.nonce();
-    c.pace = Pace::fleet;
+    c.request_priority = RequestPriority::fleet;
     const std::size_t most =
         std::min(rows->size() - k::kHistoryKept, static_cast<std::size_t>(settings_.batch()));
     for (std::size_t i = 0; i < most; ++i) {
       c.preconditions.push_back({(*rows)[i].key, (*rows)[i].revision});
       c.writes.push_back({(*rows)[i].key, "", false});
     }
-    c.done = [](Outcome, std::uint64_t) {};
-    state_store_.commit(std::move(c));
+    c.done = [](CasOutcome, std::uint64_t) {};
+    state_store_.compare_and_swap(std::move(c));
   });
 }
 
@@ -319,7 +319,7 @@
   const Ms now = runtime_.now();
   if (!settings_.upgrade.automatic || now - looked_at_ < k::kAutomaticEveryMs) return;
   looked_at_ = now;
-  if (!owner_.leading() || in_flight_ || step_in_doubt_ ||
+  if (!partition_leader_.is_cluster_leader() || in_flight_ || step_in_doubt_ ||
       !settings_.upgrade.windows.contains(runtime_.wall()))
     return;
   const StepRequest request{Action::advance, {}};
--- a/src/upgrade/coordinator.h
+++ b/src/upgrade/coordinator.h
@@ -18,8 +18,11 @@
 class Coordinator {
  public:
   Coordinator(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
-              Owner& owner)
-      : runtime_(runtime), settings_(settings), state_store_(state_store), owner_(owner) {}
+              PartitionLeader& partition_leader)
+      : runtime_(runtime),
+        settings_(settings),
+        state_store_(state_store),
+        partition_leader_(partition_leader) {}
 
   bool enabled() const { return settings_.upgrade.enabled; }
   StatusReport status() const;
@@ -50,7 +53,7 @@
   bool is_done_already(const StepOrder& order) const;
   void check_census(const PendingStep& step);
   void commit_step(const PendingStep& step);
-  void committed(const PendingStep& step, Outcome outcome);
+  void committed(const PendingStep& step, CasOutcome outcome);
   void end(const PendingStep& step, StepOutcome outcome);
   StepRecord record_of(const Pending& step, StepOutcome outcome) const;
   void write_record(const StepRecord& record);
@@ -59,7 +62,7 @@
   Runtime& runtime_;
   const Settings& settings_;
   StateStoreClient& state_store_;
-  Owner& owner_;
+  PartitionLeader& partition_leader_;
   PendingStep in_flight_;                     // null: none
   std::optional<std::string> step_in_doubt_;  // its request; nothing: the last outcome is known
   Ms looked_at_ = 0;                          // for an automatic step
--- a/src/upgrade/messages.h
+++ b/src/upgrade/messages.h
@@ -58,8 +58,8 @@
 struct StatusReport {
   std::string controller;  // who tells
   bool enabled = true;
-  std::string stands_aside;  // why it does not act; empty: it does
-  bool current = true;       // it reaches the state service, so what it tells is not old
+  std::string standby_reason;  // why it does not act; empty: it does
+  bool current = true;         // it reaches the state service, so what it tells is not old
   ClusterState cluster;
   std::string changed_by, last_request;
   Ms changed_at = 0;                         // time of day
--- a/src/upgrade/upgrade_json.cc
+++ b/src/upgrade/upgrade_json.cc
@@ -176,7 +176,7 @@
   return object([&](Writer& w) {
     put(w, "controller", report.controller);
     put(w, "enabled", report.enabled);
-    put(w, "stands_aside", report.stands_aside);
+    put(w, "stands_aside", report.standby_reason);
     put(w, "current", report.current);
     if (report.cluster.version) put_version(w, "version", *report.cluster.version);
     put(w, "changed_by", report.changed_by);
--- a/tests/answers_test.cc
+++ b/tests/answers_test.cc
@@ -38,7 +38,7 @@
   ask("POST", "/v1/jobs", spec(w.job("run-1", "red", 1, 9)));  // no machine has nine CPUs
   EXPECT_EQ(status, 422);
   JobSpec service = w.job("run-1", "red", 7, 8);
-  service.kind = Kind::service;  // 56 CPUs at once, above the limit of 48
+  service.kind = JobKind::service;  // 56 CPUs at once, above the limit of 48
   ask("POST", "/v1/jobs", spec(service));
   EXPECT_EQ(status, 422);
   ask("GET", "/v1/jobs/run-1");
@@ -150,23 +150,23 @@
 TEST(SettingsFile, AGoodOneHasNoProblems) {
   auto r = load_settings(file_with(kGood));
   EXPECT_TRUE(r.problems.empty());
-  EXPECT_EQ(r.settings.part_of_team("red"), 0);
-  EXPECT_EQ(r.settings.home_of(1), "n1");
+  EXPECT_EQ(r.settings.partition_of_team("red"), 0);
+  EXPECT_EQ(r.settings.preferred_leader_of(1), "n1");
 }
 
 TEST(SettingsFile, ALimitOfZeroIsNone) {
   auto r = load_settings(file_with(with("cpus_max = 20.0", "cpus_max = 0")));
   EXPECT_TRUE(r.problems.empty());
-  EXPECT_GT(r.settings.teams.at(0).cpus_max, 1e9);
-  EXPECT_GT(r.settings.teams.at(0).gpus_max, 1e9);
+  EXPECT_GT(r.settings.teams.at(0).quota_cpus, 1e9);
+  EXPECT_GT(r.settings.teams.at(0).quota_gpus, 1e9);
 }
 
 TEST(SettingsFile, TheAimOfTheGuaranteesIsRead) {
-  EXPECT_EQ(load_settings(file_with(kGood)).settings.guarantee_s, 5);
+  EXPECT_EQ(load_settings(file_with(kGood)).settings.fair_share_start_s, 5);
   const std::string aim = "[[params.objectives]]\nkind = \"guarantee\"\nwithin_s = 15.0\n";
   auto r = load_settings(file_with(with("[params.workers]", aim + "[params.workers]")));
   EXPECT_TRUE(r.problems.empty());
-  EXPECT_EQ(r.settings.guarantee_s, 15);
+  EXPECT_EQ(r.settings.fair_share_start_s, 15);
 }
 
 // What fits into the limits as they are and as they will be is all that is ever written.
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -8,10 +8,10 @@
 namespace {
 
 // A deployment whose machines report so seldom that two leases outlast a cancellation.
-Options slow_reports(std::uint64_t seed) {
+Options slow_heartbeats(std::uint64_t seed) {
   Options o;
   o.seed = seed;
-  o.report_s = 5;
+  o.heartbeat_interval_s = 5;
   o.lease_s = 26;
   o.cancel_s = 44;
   return o;
@@ -27,7 +27,7 @@
 // their leases, and the next owner tells them its term, which renews the lease. Before they report
 // again they are cut off once more, for longer than that lease lasts.
 TEST_P(CancelledWhileMachinesAreCutOff, TheAnswerThatTellsANewTermKills) {
-  World w(slow_reports(GetParam()));
+  World w(slow_heartbeats(GetParam()));
   std::map<std::string, std::uint64_t> tokens;
   std::size_t cut_off = 0;
   w.at(5, [&] { w.submit(w.job("run-1", "blue", 24, 1, 400)); });
@@ -42,7 +42,7 @@
   w.at(kCancelled, [&] { w.cancel("run-1"); });
   w.at(kCancelled + 2, [&] {
     ASSERT_GE(w.confirmed("run-1").node, 0);
-    w.crash(w.owner_of(1), 60);
+    w.crash(w.leader_of(1), 60);
   });
   w.at(kHealed, [&] { w.heal(); });
   for (double t = kHealed; t < kHealed + 15; t += 0.05)
@@ -73,7 +73,7 @@
     w.at(at + 0.01, [&w] {  // one at each controller
       for (const char* id : {"run-1", "run-2", "run-3"}) w.submit(w.job(id, "blue", 6, 1, 5));
     });
-    w.at(at + 3.89, [&] { met += !w.node(1)->owner().acting(1); });
+    w.at(at + 3.89, [&] { met += !w.node(1)->partition_leader().acting(1); });
     w.run_until(60);
     for (const char* id : {"run-1", "run-2", "run-3"}) EXPECT_EQ(w.phase(id), "done");
     expect_rules_kept(w, std::to_string(at));
--- a/tests/chain_scale_test.cc
+++ b/tests/chain_scale_test.cc
@@ -68,7 +68,7 @@
     });
   }
   w.at(40, [&] { w.cancel("run-1"); });
-  w.at(41, [&] { w.crash(w.owner_of(1), 4); });
+  w.at(41, [&] { w.crash(w.leader_of(1), 4); });
   w.run_until(100);
   EXPECT_GE(w.confirmed("run-1").at, 40);
   EXPECT_LT(w.confirmed("run-1").at, 40.5);
@@ -144,7 +144,7 @@
   });
   w.at(14, [&] {
     EXPECT_GE(w.keys_under("d/"), 1u);
-    w.crash(w.owner_of(0), 4);
+    w.crash(w.leader_of(0), 4);
   });
   w.at(15, [&] { w.limit_state(1, 3, 60); });
   w.run_until(120);
--- a/tests/chains_test.cc
+++ b/tests/chains_test.cc
@@ -18,11 +18,12 @@
   });
 }
 
-std::size_t open_in_parts(World& w) {
+std::size_t open_in_partitions(World& w) {
   std::size_t jobs = 0;
   for (int n = 0; n < 3; ++n)
     if (w.node(n))
-      for (const auto& [part, core] : w.node(n)->owner().parts()) jobs += core->job_count();
+      for (const auto& [partition, core] : w.node(n)->partition_leader().partitions())
+        jobs += core->job_count();
   return jobs;
 }
 
@@ -34,7 +35,7 @@
   w.at(5, [&] { submit_pipeline(w, 5); });
   w.at(9, [&] {
     poll_into(w, 1, "run-3", waiting);
-    EXPECT_EQ(open_in_parts(w), 1u);  // what waits takes part in nothing
+    EXPECT_EQ(open_in_partitions(w), 1u);  // what waits takes part in nothing
     EXPECT_NE(status_json(*w.node(0)).find(R"("job":"run-3","prerequisites":1,"first":["run-2"])"),
               std::string::npos);
   });
@@ -228,7 +229,7 @@
   int refused = -1;
   w.at(5, [&] { submit_pipeline(w, 300); });
   w.at(19, [&] {
-    refused = w.owner_of(2);
+    refused = w.leader_of(2);
     w.state_refuses(refused, true);
   });
   w.at(20, [&] { w.cancel("run-1"); });
@@ -253,7 +254,7 @@
   World w(seeded(GetParam()));
   w.at(5, [&] { submit_pipeline(w, 9); });
   w.at(13.9, [&] { w.late_writes({1, 3, 3}); });
-  w.at(14, [&] { w.cancel_at(w.owner_of(1), "run-2"); });
+  w.at(14, [&] { w.cancel_at(w.leader_of(1), "run-2"); });
   w.at(14.2, [&] { w.late_writes({}); });
   w.run_until(60);
   EXPECT_GE(w.without_answer(), 1u);
@@ -294,7 +295,7 @@
 
 // ----------------------------------------------------------------- ends that meet other troubles
 
-enum class Trouble { owner_ends, dependents_owner_ends, outage, all_end, home_is_back };
+enum class Trouble { leader_ends, dependents_leader_ends, outage, all_end, home_is_back };
 
 class ChainEnd : public testing::TestWithParam<std::tuple<Trouble, std::uint64_t>> {};
 
@@ -310,9 +311,9 @@
       w.at(at - 7.2, [&w] { w.crash(2, 2); });
     w.at(5, [&] { submit_pipeline(w, 5); });
     w.at(at, [&w, trouble = trouble] {
-      const int owner = w.owner_of(trouble == Trouble::owner_ends ? 0 : 1);
-      if (trouble == Trouble::owner_ends || trouble == Trouble::dependents_owner_ends)
-        w.crash(std::max(owner, 0), 4);
+      const int leader = w.leader_of(trouble == Trouble::leader_ends ? 0 : 1);
+      if (trouble == Trouble::leader_ends || trouble == Trouble::dependents_leader_ends)
+        w.crash(std::max(leader, 0), 4);
       if (trouble == Trouble::all_end)
         for (int n = 0; n < 3; ++n) w.crash(n, 1 + n);
       if (trouble == Trouble::outage) w.state_outage(true);
@@ -332,7 +333,7 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Troubles, ChainEnd,
-    testing::Combine(testing::Values(Trouble::owner_ends, Trouble::dependents_owner_ends,
+    testing::Combine(testing::Values(Trouble::leader_ends, Trouble::dependents_leader_ends,
                                      Trouble::outage, Trouble::all_end, Trouble::home_is_back),
                      testing::Values(1, 2, 3)));
 
