--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -96,44 +96,47 @@
 
 TEST(DoneCodec, BitsOfAFullChunkFitTheValueLimitAndComeBack) {
   std::vector<std::uint32_t> tasks;
-  for (std::uint32_t i = constants::kDoneChunk; i < 2 * constants::kDoneChunk; ++i)
+  for (std::uint32_t i = constants::kProgressChunkTasks; i < 2 * constants::kProgressChunkTasks;
+       ++i)
     if (i % 3) tasks.push_back(i);
-  const std::string value = codec::encode_done(
-      tasks, {constants::kDoneChunk, constants::kDoneChunk}, upgrade::ProgressForm::bits, "n");
+  const std::string value =
+      codec::encode_done(tasks, {constants::kProgressChunkTasks, constants::kProgressChunkTasks},
+                         upgrade::ProgressForm::bits, "n");
   EXPECT_LT(value.size(), 8192u);
   auto row = codec::parse_row(codec::stored_row("d/0/run-1/1", value, 9));
   ASSERT_TRUE(row && row->done);
   EXPECT_EQ(row->done->tasks, tasks);
 }
 
-TEST(MeshCodec, EveryMessageComesBack) {
-  PartNeed need;
-  need.waiting_cpus = 3.5;
-  need.idle_machines = 2;
-  std::vector<mesh::Body> bodies = {
-      mesh::Ask{7, true, "run-1"},
-      mesh::Answer{7, 200, "{}"},
-      mesh::Status{{{2, need}}, {1.5, 2}},
-      mesh::Move{1, -1, 64, true},
-      mesh::Gone{{"m-3"}},
-      mesh::Shed{1, 24.0, true},
-      mesh::PromiseRequest{4, 3000, {{1, 77}}, 93},
-      mesh::Promise{4, true, {{"run-1", JobPhase::cancelled, 95}, {"run-2", JobPhase::done, 96}}}};
+TEST(PeerMessages, EveryMessageComesBack) {
+  PartitionLoad load;
+  load.waiting_cpus = 3.5;
+  load.idle_machines = 2;
+  std::vector<peer_rpc::Body> bodies = {
+      peer_rpc::JobQuery{7, true, "run-1"},
+      peer_rpc::JobQueryReply{7, 200, "{}"},
+      peer_rpc::PeerStatus{{{2, load}}, {1.5, 2}},
+      peer_rpc::TransferRequest{1, -1, 64, true},
+      peer_rpc::MachinesTerminated{{"m-3"}},
+      peer_rpc::CordonRequest{1, 24.0, true},
+      peer_rpc::VoteRequest{4, 3000, {{1, 77}}, 93},
+      peer_rpc::Vote{4, true, {{"run-1", JobPhase::cancelled, 95}, {"run-2", JobPhase::done, 96}}}};
   for (const auto& b : bodies) {
-    auto m = mesh::decode(mesh::encode({"n0", b}));
+    auto m = peer_rpc::decode(peer_rpc::encode({"n0", b}));
     ASSERT_TRUE(m);
     EXPECT_EQ(m->from, "n0");
     EXPECT_EQ(m->body.index(), b.index());
-    EXPECT_EQ(mesh::encode(*m), mesh::encode({"n0", b}));
+    EXPECT_EQ(peer_rpc::encode(*m), peer_rpc::encode({"n0", b}));
   }
 }
 
 // Seeded malformed input: flipped and cut bytes are refused or read, never a crash.
 TEST(Malformed, MeshFramesAndJsonDoNoHarm) {
   std::mt19937_64 random(7);
-  PartNeed need;
-  need.idle_machines = 3;
-  const std::string frame = mesh::encode({"n0", mesh::Status{{{1, need}, {2, need}}, {}}});
+  PartitionLoad load;
+  load.idle_machines = 3;
+  const std::string frame =
+      peer_rpc::encode({"n0", peer_rpc::PeerStatus{{{1, load}, {2, load}}, {}}});
   const std::string job = job_text();
   int refused = 0;
   for (int i = 0; i < 3000; ++i) {
@@ -143,9 +146,9 @@
       j[random() % j.size()] = static_cast<char>(random());
     }
     if (i % 4 == 0) f.resize(random() % f.size());
-    if (!mesh::decode(f)) ++refused;
+    if (!peer_rpc::decode(f)) ++refused;
     if (!codec::parse_job(j).spec) ++refused;
-    codec::parse_report(j);
+    codec::parse_heartbeat(j);
     codec::parse_events(j);
   }
   EXPECT_GT(refused, 1000);
@@ -159,25 +162,25 @@
 }
 
 // A rolling restart mixes builds: these bytes were written before the messages had these names.
-TEST(Mesh, ReadsAndWritesWhatEarlierBuildsWrote) {
-  const mesh::PromiseRequest request{4, 3000, {{1, 77}}, 93};
-  const mesh::Promise promise{4, true, {{"run-1", JobPhase::cancelled, 95}}};
+TEST(PeerLinks, ReadsAndWritesWhatEarlierBuildsWrote) {
+  const peer_rpc::VoteRequest request{4, 3000, {{1, 77}}, 93};
+  const peer_rpc::Vote vote{4, true, {{"run-1", JobPhase::cancelled, 95}}};
   const std::string request_bytes = from_hex(
       "000000000c00000000000000010002000400000000000000050000001a0000000400000003000100"
       "6e300000000000000400000000000000b80b0000000000005d000000000000000100000017000000"
       "040000000200000001000000000000004d00000000000000");
-  const std::string promise_bytes = from_hex(
+  const std::string vote_bytes = from_hex(
       "000000000d00000000000000010002000500000000000000050000001a0000000400000002000100"
       "6e3000000000000004000000000000000100000000000000010000001f0000000400000002000100"
       "5f000000000000000100000000000000010000003200000072756e2d31000000");
-  EXPECT_EQ(mesh::encode({"n0", request}), request_bytes);
-  EXPECT_EQ(mesh::encode({"n0", promise}), promise_bytes);
-  const auto read_request = mesh::decode(request_bytes);
+  EXPECT_EQ(peer_rpc::encode({"n0", request}), request_bytes);
+  EXPECT_EQ(peer_rpc::encode({"n0", vote}), vote_bytes);
+  const auto read_request = peer_rpc::decode(request_bytes);
   ASSERT_TRUE(read_request);
-  EXPECT_EQ(std::get<mesh::PromiseRequest>(read_request->body).parts, request.parts);
-  const auto read_promise = mesh::decode(promise_bytes);
-  ASSERT_TRUE(read_promise);
-  EXPECT_EQ(std::get<mesh::Promise>(read_promise->body).closed.at(0).id, "run-1");
+  EXPECT_EQ(std::get<peer_rpc::VoteRequest>(read_request->body).partitions, request.partitions);
+  const auto read_vote = peer_rpc::decode(vote_bytes);
+  ASSERT_TRUE(read_vote);
+  EXPECT_EQ(std::get<peer_rpc::Vote>(read_vote->body).finished.at(0).id, "run-1");
 }
 
 }  // namespace
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -28,7 +28,7 @@
     R"("rank":"high","shards":16,"cores":8.0,"accelerators":1.0,"mem_gb":64.0,"bundle":"img-07",)"
     R"("size_gb":6.2,"hulls":["g8"],"one_zone":true,"apart":false,"driftwood":true,)"
     R"("guess_s":240.0,"snapshot_s":30.0,"stow_s":4.0,"due_s":900.0,"at_ms":1764668592000})";
-const char kOldPart[] = R"({"n":"n0.b1.7","owner":"n1","grant":9})";
+const char kOldPartition[] = R"({"n":"n0.b1.7","owner":"n1","grant":9})";
 const char kOldMachine[] =
     R"({"n":"n0.b1.7","part":2,"type":"g8","zone":"a","addr":"10.1.0.232:9000","spot":true})";
 const char kOldNode[] = R"({"n":"n0.b1.7","boot":"b1","grant":9})";
@@ -44,9 +44,9 @@
   EXPECT_TRUE(job.job->prerequisites.empty());
   EXPECT_EQ(codec::encode(*job.job, "n0.b1.7"), kOldJob);  // and written as before
 
-  const auto part = read("e/part/2", kOldPart);
-  ASSERT_TRUE(part.part);
-  EXPECT_EQ(codec::encode(*part.part, "n0.b1.7"), kOldPart);
+  const auto partition = read("e/part/2", kOldPartition);
+  ASSERT_TRUE(partition.partition);
+  EXPECT_EQ(codec::encode(*partition.partition, "n0.b1.7"), kOldPartition);
 
   const auto machine = read("e/machine/m-1", kOldMachine);
   ASSERT_TRUE(machine.machine);
@@ -89,20 +89,20 @@
   EXPECT_EQ(again.job->prerequisites, job.prerequisites);
   EXPECT_EQ(again.job->accepted_at, job.accepted_at);
 
-  const auto spread = read("e/job/run-000412", codec::encode_spread(job, 3, "n0.b1.7"));
+  const auto spread = read("e/job/run-000412", codec::encode_with_chunks(job, 3, "n0.b1.7"));
   ASSERT_TRUE(spread.job);
-  EXPECT_EQ(spread.prerequisite_parts, 3u);
+  EXPECT_EQ(spread.prerequisite_chunks, 3u);
   EXPECT_TRUE(spread.job->prerequisites.empty());
   EXPECT_TRUE(spread.has_prerequisites());
   const std::string key = codec::prerequisite_key("run-000412", "n0.b1.7", 2);
-  const auto part = read(key, codec::encode(codec::PrerequisitePart{{"run-1"}}, "n0.b1.7"));
-  ASSERT_TRUE(part.prerequisites);
-  EXPECT_EQ(part.prerequisites->jobs, std::vector<std::string>{"run-1"});
+  const auto chunk = read(key, codec::encode(codec::PrerequisiteChunk{{"run-1"}}, "n0.b1.7"));
+  ASSERT_TRUE(chunk.prerequisites);
+  EXPECT_EQ(chunk.prerequisites->jobs, std::vector<std::string>{"run-1"});
   const auto parsed = codec::parse_prerequisite_key(key);
   ASSERT_TRUE(parsed);
   EXPECT_EQ(parsed->job, "run-000412");
   EXPECT_EQ(parsed->nonce, "n0.b1.7");
-  EXPECT_EQ(parsed->part, 2u);
+  EXPECT_EQ(parsed->chunk, 2u);
 }
 
 // Whole chunks wherever they fit; else values of the size that is left, each readable by itself.
@@ -128,7 +128,7 @@
       EXPECT_EQ(read_back.back(), tasks - 1);
     }
   }
-  EXPECT_EQ(codec::progress_range(40000, 100000, 8192).count, constants::kDoneChunk);
+  EXPECT_EQ(codec::progress_range(40000, 100000, 8192).count, constants::kProgressChunkTasks);
 }
 
 struct OldMessage {
@@ -189,29 +189,29 @@
 TEST(OldMessages, AreReadAndAllButTheStatusWrittenAsBefore) {
   for (const OldMessage& old : old_messages()) {
     const std::string bytes = from_hex(old.bytes);
-    const auto message = mesh::decode(bytes);
+    const auto message = peer_rpc::decode(bytes);
     ASSERT_TRUE(message) << old.name;
     EXPECT_EQ(message->body.index(), old.kind) << old.name;
     EXPECT_EQ(message->from, "n0") << old.name;
-    if (std::holds_alternative<mesh::Status>(message->body)) continue;
-    EXPECT_EQ(mesh::encode(*message), bytes) << old.name;
+    if (std::holds_alternative<peer_rpc::PeerStatus>(message->body)) continue;
+    EXPECT_EQ(peer_rpc::encode(*message), bytes) << old.name;
   }
 }
 
 TEST(OldMessages, AStatusWithoutFeaturesTellsOfAnEarlierBuild) {
-  const auto message = mesh::decode(from_hex(old_messages()[2].bytes));
+  const auto message = peer_rpc::decode(from_hex(old_messages()[2].bytes));
   ASSERT_TRUE(message);
-  const auto& status = std::get<mesh::Status>(message->body);
+  const auto& status = std::get<peer_rpc::PeerStatus>(message->body);
   EXPECT_EQ(status.features, 0u);
-  EXPECT_FALSE(status.hears);
-  ASSERT_EQ(status.parts.size(), 1u);
-  EXPECT_EQ(status.parts[0].second.waiting_cpus, 3.5);
-  EXPECT_EQ(status.parts[0].second.waited_s, 7);
-  mesh::Status now = status;
+  EXPECT_FALSE(status.hears_workers);
+  ASSERT_EQ(status.partition_loads.size(), 1u);
+  EXPECT_EQ(status.partition_loads[0].second.waiting_cpus, 3.5);
+  EXPECT_EQ(status.partition_loads[0].second.waited_s, 7);
+  peer_rpc::PeerStatus now = status;
   now.features = constants::kFeatures;
-  const auto again = mesh::decode(mesh::encode({"n0", now}));
+  const auto again = peer_rpc::decode(peer_rpc::encode({"n0", now}));
   ASSERT_TRUE(again);
-  EXPECT_EQ(std::get<mesh::Status>(again->body).features, constants::kFeatures);
+  EXPECT_EQ(std::get<peer_rpc::PeerStatus>(again->body).features, constants::kFeatures);
 }
 
 }  // namespace
--- a/tests/concurrent_faults_test.cc
+++ b/tests/concurrent_faults_test.cc
@@ -23,7 +23,7 @@
 class GapTest : public testing::TestWithParam<Gap> {
  public:
   static constexpr double kAt = 30, kOutageS = 52.8;
-  static constexpr int kOwner = 1;  // of the part of team blue
+  static constexpr int kLeader = 1;  // of the part of team blue
   Options options() const {
     Options o;
     o.seed = GetParam().seed;
@@ -34,12 +34,12 @@
     w.at(kAt - 0.3, [&w] { w.late_writes(GetParam().late); });
     w.at(kAt, [&w] {
       w.late_writes({});
-      w.state_refuses(kOwner, true);
+      w.state_refuses(kLeader, true);
     });
     w.at(kAt + GetParam().outage_after_s, [&w] { w.state_outage(true); });
     w.at(kAt + GetParam().outage_after_s + kOutageS, [&w] {
       w.state_outage(false);
-      w.state_refuses(kOwner, false);
+      w.state_refuses(kLeader, false);
     });
   }
   double outage_at() const { return kAt + GetParam().outage_after_s; }
@@ -53,17 +53,18 @@
   });
   gap(w);
   w.at(kAt - 0.2, [&] {
-    ASSERT_EQ(w.owner_of(1), kOwner);
+    ASSERT_EQ(w.leader_of(1), kLeader);
     ASSERT_EQ(w.tasks_on("run-1"), 6u);
     w.cancel("run-1");
   });
   std::size_t before = 0, confirmed = 0;
-  w.at(outage_at() + 6, [&] { before = w.reports_taken(kOwner); });  // its grant would be over
-  w.at(outage_at() + 50, [&] { confirmed = w.reports_taken(kOwner); });
+  w.at(outage_at() + 6,
+       [&] { before = w.heartbeats_accepted(kLeader); });  // its grant would be over
+  w.at(outage_at() + 50, [&] { confirmed = w.heartbeats_accepted(kLeader); });
   w.run_until(outage_at() + kOutageS - 1);
   // They meet: another controller has confirmed, and the workers stayed with the old owner.
   ASSERT_GE(w.confirmed("run-1").node, 0);
-  EXPECT_NE(w.confirmed("run-1").node, kOwner);
+  EXPECT_NE(w.confirmed("run-1").node, kLeader);
   EXPECT_LT(w.confirmed("run-1").at, outage_at());
   EXPECT_GT(confirmed, before + 40);
   EXPECT_EQ(w.tasks_on("run-1"), 0u);
@@ -91,7 +92,7 @@
     w.at(t, [&] {
       for (int n : {0, 2, 1})
         w.poll_once(n, "run-1", [&, n](int, const std::string& phase) {
-          told |= phase == "done" && n != kOwner && w.now() < outage_at();
+          told |= phase == "done" && n != kLeader && w.now() < outage_at();
         });
     });
   w.run_until(130);
@@ -115,7 +116,7 @@
   });
   w.at(30, [&] { w.state_refuses(1, true); });
   w.at(30 + after - 0.4, [&] {
-    ASSERT_NE(w.owner_of(1), 1);
+    ASSERT_NE(w.leader_of(1), 1);
     w.cancel("run-1");
   });
   w.at(30 + after, [&] { w.state_outage(true); });
@@ -483,7 +484,7 @@
          usual(w, load);
          for (int i = 0; i < 12; ++i)
            w.at(12 + 9.7 * i, [&w, i] {
-             if (const int owner = w.owner_of(0); owner >= 0) w.crash(owner, i % 3 ? 4 : 0.3);
+             if (const int leader = w.leader_of(0); leader >= 0) w.crash(leader, i % 3 ? 4 : 0.3);
            });
          w.at(60, [&w] { w.state_outage(true); });
          w.at(75, [&w] { w.state_outage(false); });
@@ -495,7 +496,7 @@
       {"OldReportsOfEarlierSessionsArriveAfterNewerOnes", 60,
        [](World& w, Load& load) {
          usual(w, load);
-         w.copy_reports(true);
+         w.duplicate_heartbeats(true);
          w.at(10, [&w] {
            for (int i = 0; i < 3; ++i) w.freeze_machine(machine(i), true);
          });
@@ -504,11 +505,11 @@
          });
          w.at(26, [&w] { w.crash(1); });
          w.at(45, [&w] { w.crash(0, 0.2); });
-         w.at(60, [&w] { w.copy_reports(false); });
+         w.at(60, [&w] { w.duplicate_heartbeats(false); });
        },
        [](World& w) {
          EXPECT_GT(w.copies(), 200u);
-         EXPECT_GE(w.session_of(machine(0)), 2u);
+         EXPECT_GE(w.incarnation_of(machine(0)), 2u);
        }},
       {"HandedOverAndBackThenAllEndAndOneReturns", 50,
        [](World& w, Load& load) {
@@ -564,7 +565,7 @@
          w.at(10, [&w] { w.crash(1, 25); });
          w.at(19, [&w] {
            EXPECT_GE(w.held(), 6u);
-           EXPECT_NE(w.owner_of(1), 1);
+           EXPECT_NE(w.leader_of(1), 1);
            w.heal();
          });
        },
@@ -624,7 +625,7 @@
            for (int i = 0; i < 4; ++i) w.deafen(machine(i), false);
          });
        },
-       [](World& w) { EXPECT_GE(w.session_of(machine(0)), 2u); }},
+       [](World& w) { EXPECT_GE(w.incarnation_of(machine(0)), 2u); }},
       {"ACommandIsHeldUpAndTheMachineGoesOn", 40,
        [](World& w, Load& load) {
          usual(w, load);
@@ -658,7 +659,7 @@
            for (int i = 0; i < 6; ++i) w.mute(machine(i), false);
          });
        },
-       [](World& w) { EXPECT_GE(w.session_of(machine(0)), 2u); }},
+       [](World& w) { EXPECT_GE(w.incarnation_of(machine(0)), 2u); }},
       {"ATeamAtItsLimitChangesLeaderAndSomeMachinesCannotBeAsked", 45,
        [](World& w, Load& load) {
          load.off = {"run-1"};
@@ -707,7 +708,7 @@
          w.at(6, [&w] { w.submit(w.job("run-1", "blue", 6, 1, 400)); });
          w.at(14, [&w] { w.cut({"n1"}, {"state", "n0", "n2", "cloud"}, CutMode::reset); });
          w.at(20, [&w] {
-           ASSERT_NE(w.owner_of(1), 1);
+           ASSERT_NE(w.leader_of(1), 1);
            w.cancel("run-1");
          });
          w.at(35, [&w] { w.heal(); });
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -12,7 +12,7 @@
 Options large() {
   Options o;
   o.machines = kMachines;
-  o.report_s = 5;
+  o.heartbeat_interval_s = 5;
   o.lease_s = 26;
   o.cancel_s = 44;
   o.state_rps = 1000;
@@ -35,7 +35,7 @@
       running += w.tasks_on(std::string("run-") + std::to_string(team[0]));
     w.kill_machine(machine(1));
     w.take_machine(machine(2), 0);
-    w.crash(w.owner_of(0), 4);
+    w.crash(w.leader_of(0), 4);
   });
   w.run_until(62);
   EXPECT_GE(running, 3800u);
@@ -45,8 +45,9 @@
   EXPECT_EQ(w.lines("machine released machine=" + machine(1)), 1u);
   EXPECT_GE(w.lines("machine forgotten machine=" + machine(2)), 1u);
   for (int n = 0; n < 3; ++n)
-    for (const auto& [part, core] : w.node(n)->owner().parts())
-      EXPECT_LT(core->steps(), 40u * kMachines) << part;  // a report is answered by one machine's
+    for (const auto& [partition, core] : w.node(n)->partition_leader().partitions())
+      EXPECT_LT(core->steps(), 40u * kMachines)
+          << partition;  // a report is answered by one machine's
   expect_rules_kept(w);
 }
 
--- a/tests/processes/process_cluster.cc
+++ b/tests/processes/process_cluster.cc
@@ -90,11 +90,11 @@
   const auto& own = addresses_[static_cast<std::size_t>(node)];
   std::string text =
       fmt::format("node_name = \"n{}\"\narea = \"{}\"\napi_addr = \"{}\"\nmesh_addr = \"{}\"\n",
-                  node, node % 2 ? "b" : "a", own.api, own.mesh);
+                  node, node % 2 ? "b" : "a", own.api, own.peer_rpc);
   for (int peer = 0; peer < kControllers; ++peer)
     if (peer != node)
       text += fmt::format("[[known]]\nnode_name = \"n{}\"\narea = \"a\"\nendpoint = \"{}\"\n", peer,
-                          addresses_[static_cast<std::size_t>(peer)].mesh);
+                          addresses_[static_cast<std::size_t>(peer)].peer_rpc);
   text += fmt::format("[outside]\ncloud = \"{}\"\nstate = \"{}\"\n", cloud_->address(),
                       state_->address());
   text +=
@@ -102,9 +102,9 @@
   for (const Team& team : options_.teams)
     text += fmt::format(
         "[[params.teams]]\nname = \"{}\"\ncpus = {}\ncpus_max = {}\ngpus = 0\ngpus_max = 0\n",
-        team.name, team.cpus, team.cpus_max);
+        team.name, team.fair_share_cpus, team.quota_cpus);
   text += fmt::format("[params.workers]\nreport_s = {}\nlease_s = {}\ncancel_s = {}\n",
-                      options_.report_s, options_.lease_s, options_.cancel_s);
+                      options_.heartbeat_interval_s, options_.lease_s, options_.cancel_s);
   text += fmt::format("[params.state]\nrps = {}\nwrite_rps = {}\nvalue_kb = {}\ntxn_ops = {}\n",
                       options_.state_rps, options_.state_write_rps, options_.value_kb,
                       options_.txn_ops);
--- a/tests/processes/process_cluster.h
+++ b/tests/processes/process_cluster.h
@@ -44,7 +44,7 @@
 
  private:
   struct ControllerAddress {
-    std::string api, mesh;
+    std::string api, peer_rpc;
   };
   std::string settings_text(int node) const;
   std::string add_worker(const std::string& machine);
--- a/tests/random_days_test.cc
+++ b/tests/random_days_test.cc
@@ -44,7 +44,7 @@
     o.seed = number;
     o.machines = kMachines;
     if (number % 2) {
-      o.report_s = 5;
+      o.heartbeat_interval_s = 5;
       o.lease_s = 26;
       o.cancel_s = 44;
     }
@@ -131,7 +131,7 @@
         });
       case 2:
         return world_.at(t, [=, this] {
-          if (const int owner = world_.owner_of(node); owner >= 0) world_.crash(owner, back_s);
+          if (const int leader = world_.leader_of(node); leader >= 0) world_.crash(leader, back_s);
         });
       default:
         return world_.at(t, [=, this] { world_.freeze(node, still_s); });
@@ -196,8 +196,8 @@
         return cut({node}, {"state", "n0", "n1", "n2"});
       case 3:
         return during(
-            t, for_s, [this] { world_.copy_reports(true); },
-            [this] { world_.copy_reports(false); });
+            t, for_s, [this] { world_.duplicate_heartbeats(true); },
+            [this] { world_.duplicate_heartbeats(false); });
       default:
         return during(
             t, for_s,
@@ -214,7 +214,7 @@
     world_.late_writes({});
     world_.late_commands({});
     world_.state_slow(0);
-    world_.copy_reports(false);
+    world_.duplicate_heartbeats(false);
     for (int n = 0; n < 3; ++n) world_.state_refuses(n, false);
     world_.troubles_over();
     for (int i = 0; i < kMachines; ++i) {
--- a/tests/standin/checker.cc
+++ b/tests/standin/checker.cc
@@ -130,7 +130,7 @@
   double& cpus = team_cpus_[s.team];
   cpus += s.cpus;
   for (const auto& team : teams_)
-    if (team.name == s.team && cpus > team.cpus_max + 1e-6)
+    if (team.name == s.team && cpus > team.quota_cpus + 1e-6)
       broke(t, "quota", s.team + " uses " + std::to_string(cpus));
 }
 
--- a/tests/standin/old_build.h
+++ b/tests/standin/old_build.h
@@ -33,13 +33,13 @@
 
 // Its messages to its peers.
 inline std::string as_old_build_sends(const std::string& bytes) {
-  auto message = mesh::decode(bytes);
+  auto message = peer_rpc::decode(bytes);
   if (!message) return bytes;
-  if (auto* status = std::get_if<mesh::Status>(&message->body)) {
+  if (auto* status = std::get_if<peer_rpc::PeerStatus>(&message->body)) {
     status->features = 0;
     status->conversion.reset();
   }
-  return mesh::encode(*message);
+  return peer_rpc::encode(*message);
 }
 
 }  // namespace eiderreel::standin
--- a/tests/standin/text.h
+++ b/tests/standin/text.h
@@ -30,8 +30,8 @@
   auto begin = path.find('?');
   while (begin != std::string::npos) {
     const auto end = path.find('&', begin + 1);
-    const auto part = path.substr(begin + 1, end == std::string::npos ? end : end - begin - 1);
-    if (has_prefix(part, name + "=")) return part.substr(name.size() + 1);
+    const auto parameter = path.substr(begin + 1, end == std::string::npos ? end : end - begin - 1);
+    if (has_prefix(parameter, name + "=")) return parameter.substr(name.size() + 1);
     begin = end;
   }
   return "";
--- a/tests/standin/world.cc
+++ b/tests/standin/world.cc
@@ -129,10 +129,10 @@
       if (k != i) s.peers.push_back({"n" + std::to_string(k), "a", "n" + std::to_string(k)});
     s.cloud_addr = "cloud";
     s.state_addr = "state";
-    s.parts = o_.nodes;
+    s.partition_count = o_.nodes;
     s.zones = {"a", "b"};
     s.teams = o_.teams;
-    s.report_s = o_.report_s;
+    s.heartbeat_interval_s = o_.heartbeat_interval_s;
     s.lease_s = o_.lease_s;
     s.cancel_s = o_.cancel_s;
     s.state_rps = o_.state_rps;
@@ -277,8 +277,8 @@
                            at = body.find("\"launch\"", at + 1))
                         ++launches_[from];
                       if (r.path == "/v1/report" && status == 200) {
-                        ++reports_taken_[static_cast<int>(i)];
-                        check_entitled(*procs_[i].node, r.body);
+                        ++heartbeats_accepted_[static_cast<int>(i)];
+                        check_may_act(*procs_[i].node, r.body);
                       }
                       back({status, body});
                     });
@@ -294,12 +294,12 @@
 
 // Invariant 6: a report is answered with 200 only by an owner whose lease is alive, or who has the
 // promises of all peers.
-void World::check_entitled(const Controller& node, const std::string& report) {
+void World::check_may_act(const Controller& node, const std::string& heartbeat) {
   Document d;
-  d.Parse(report.c_str());
+  d.Parse(heartbeat.c_str());
   const std::string machine = d["host"].GetString();
-  for (const auto& [part, core] : node.owner().parts())
-    if (core->has_machine(machine) && !node.owner().acting(part))
+  for (const auto& [partition, core] : node.partition_leader().partitions())
+    if (core->has_machine(machine) && !node.partition_leader().acting(partition))
       checker_.answered_without_lease(now(), node.settings().node + " answers " + machine);
 }
 
@@ -378,8 +378,8 @@
   state_service_.set_limits(value_kb, txn_ops, write_rps);
 }
 
-int World::owner_of(int part) const {
-  const std::string* record = state_service_.value("e/part/" + std::to_string(part));
+int World::leader_of(int partition) const {
+  const std::string* record = state_service_.value("e/part/" + std::to_string(partition));
   if (!record) return -1;
   Document d;
   d.Parse(record->c_str());
--- a/tests/standin/world.h
+++ b/tests/standin/world.h
@@ -24,7 +24,7 @@
 struct Options {
   std::uint64_t seed = 1;
   int nodes = 3;
-  double report_s = 1, lease_s = 10, cancel_s = 40;
+  double heartbeat_interval_s = 1, lease_s = 10, cancel_s = 40;
   double state_rps = 200, state_write_rps = 100;
   std::vector<Team> teams = {{"red", 16, 48, 0, 0}, {"blue", 16, 48, 0, 0}, {"gold", 16, 48, 0, 0}};
   int machines = 6;  // of 8 CPUs, up from the start
@@ -124,7 +124,7 @@
   // It reaches no controller; what is sent to it arrives, and is answered.
   void mute(const std::string& id, bool on);
   // Every report arrives again, after a few seconds and after well over a lease, anywhere.
-  void copy_reports(bool on) { copies_ = on; }
+  void duplicate_heartbeats(bool on) { copies_ = on; }
   void set_failing(const std::string& job) { failing_jobs_.insert(job); }
   void no_capacity(bool on) { no_capacity_ = on; }
   void stuck_boots(bool on) { stuck_boots_ = on; }
@@ -133,7 +133,7 @@
   Checker& checker() { return checker_; }
   const std::vector<std::string>& trace() const { return trace_; }
   Controller* node(int i) { return procs_[static_cast<std::size_t>(i)].node.get(); }
-  int owner_of(int part) const;
+  int leader_of(int partition) const;
   std::size_t tasks_on(const std::string& job) const;
   std::vector<std::string> machines_of(const std::string& job) const;
   std::size_t machines_up() const;
@@ -153,10 +153,10 @@
   std::size_t refused_over_limit() const { return state_service_.counters().over_limit; }
   std::size_t launches_to(const std::string& machine) const;
   // Reports that a node has answered with 200.
-  std::size_t reports_taken(int node) const;
+  std::size_t heartbeats_accepted(int node) const;
   // Whether it is up and has a lease, and how often its lease has ended.
-  std::uint64_t session_of(const std::string& machine) const {
-    return workers_.at(machine)->session;
+  std::uint64_t incarnation_of(const std::string& machine) const {
+    return workers_.at(machine)->incarnation;
   }
   // The highest token that it has seen.
   std::uint64_t token_of(const std::string& machine) const { return workers_.at(machine)->epoch; }
@@ -202,11 +202,11 @@
     bool spot = false;
     bool up = false, gone = false, frozen = false, sick = false, stopped = false;
     double rented_at = 0, up_at = 0, taken_at = -1;
-    std::uint64_t session = 1, sequence = 0, epoch = 0;
+    std::uint64_t incarnation = 1, sequence = 0, epoch = 0;
     std::map<TaskKey, Task> tasks;
     std::set<std::string> images;
     int node = 0;
-    Ms next_report = 0, last_sent = -100000, lease_from = 0;
+    Ms next_heartbeat = 0, last_sent = -100000, lease_from = 0;
     Ms token_change_at = -100000;  // when a higher token last made it report at once
     bool in_flight = false, changed = false;
     std::uint64_t flight = 0;
@@ -225,13 +225,13 @@
   void serve_worker(Worker& w, const HttpRequest& r, Done done);
   double chance();
   void look_for_room();
-  void check_entitled(const Controller& node, const std::string& report);
+  void check_may_act(const Controller& node, const std::string& heartbeat);
   void start_node(std::size_t i);
   void observe_versions();
   void when_awake(std::size_t i, std::function<void()> f);
   void tick_workers();
-  void send_report(Worker& w);
-  void take_answer(Worker& w, Ms sent, std::uint64_t session, const HttpReply& r, int node);
+  void send_heartbeat(Worker& w);
+  void take_answer(Worker& w, Ms sent, std::uint64_t incarnation, const HttpReply& r, int node);
   void obey(Worker& w, const std::string& body);
   void raise_token(Worker& w, std::uint64_t token);
   void hold_command(Worker& w, const HttpRequest& r);
@@ -240,7 +240,7 @@
   void end_task(Worker& w, const TaskKey& key, Task& t, const std::string& exit_reason);
   void end_lease(Worker& w);
   void lose(Worker& w, const char* why);
-  std::string report_body(Worker& w);
+  std::string heartbeat_body(Worker& w);
   Worker& add_worker(const std::string& zone, bool spot, double boot_s);
   void try_submit(const JobSpec& spec, double until);
   void try_cancel(const std::string& id, int n);
@@ -274,7 +274,7 @@
   std::set<std::string> deaf_, mute_;
   Delays late_commands_;
   std::size_t commands_late_ = 0;
-  std::map<int, std::size_t> reports_taken_;
+  std::map<int, std::size_t> heartbeats_accepted_;
   std::map<std::string, Confirmed> confirmed_;
   bool copies_ = false;
   std::size_t copies_sent_ = 0;
--- a/tests/standin/world_users.cc
+++ b/tests/standin/world_users.cc
@@ -29,7 +29,7 @@
 JobSpec World::service(const std::string& id, const std::string& team, std::uint32_t tasks,
                        double cpus) {
   JobSpec s = job(id, team, tasks, cpus);
-  s.kind = Kind::service;
+  s.kind = JobKind::service;
   s.priority = Priority::production;
   s.spot = false;
   return s;
--- a/tests/standin/world_workers.cc
+++ b/tests/standin/world_workers.cc
@@ -60,9 +60,9 @@
     deaf_.erase(workers_.at(id)->addr);
 }
 
-std::size_t World::reports_taken(int node) const {
-  auto it = reports_taken_.find(node);
-  return it == reports_taken_.end() ? 0 : it->second;
+std::size_t World::heartbeats_accepted(int node) const {
+  auto it = heartbeats_accepted_.find(node);
+  return it == heartbeats_accepted_.end() ? 0 : it->second;
 }
 
 std::size_t World::launches_to(const std::string& machine) const {
@@ -98,7 +98,7 @@
   for (auto& [key, t] : w.tasks)
     if (on_machine(t)) checker_.task_off(w.id, key.first, key.second);
   w.tasks.clear();
-  ++w.session;
+  ++w.incarnation;
   w.lease_from = now_;
   w.changed = true;
 }
@@ -120,7 +120,7 @@
     bool could = false;
     double most = 0;
     for (const auto& team : o_.teams)
-      if (team.name == s.team) most = team.cpus_max;
+      if (team.name == s.team) most = team.quota_cpus;
     if ((told == "queued" || told == "running") && !failing_jobs_.count(id) && begun[id] == 0 &&
         team_cpus[s.team] + s.cpus <= most)
       for (const auto& [name, w] : workers_) {
@@ -145,7 +145,7 @@
     if (!w.up && !w.gone && !w.stopped && now() >= w.up_at) {
       w.up = true;
       w.lease_from = now_;
-      w.next_report = now_ + static_cast<Ms>(random_() % 500);
+      w.next_heartbeat = now_ + static_cast<Ms>(random_() % 500);
     }
     if (!w.up) continue;
     // A hanging machine may go on within its lease; after it, its tasks are gone.
@@ -168,7 +168,7 @@
         w.images.insert(s.image);
         t.phase = "running";
         t.left_s = w.sick || failing_jobs_.count(key.first) ? 0.3
-                   : s.kind == Kind::service                ? 1e9
+                   : s.kind == JobKind::service             ? 1e9
                    : runs_.count(key.first)                 ? runs_[key.first].at(key.second)
                                                             : run_s_[key.first];
         note(w.id + " runs " + key.first + "/" + std::to_string(key.second));
@@ -183,11 +183,11 @@
       }
     }
     if (w.in_flight) continue;
-    if (now_ >= w.next_report || (w.changed && now_ - w.last_sent >= 500)) send_report(w);
+    if (now_ >= w.next_heartbeat || (w.changed && now_ - w.last_sent >= 500)) send_heartbeat(w);
   }
 }
 
-std::string World::report_body(Worker& w) {
+std::string World::heartbeat_body(Worker& w) {
   ++w.sequence;
   std::string tasks;
   for (const auto& [key, t] : w.tasks) {
@@ -201,22 +201,22 @@
   return "{\"host\":\"" + w.id + "\",\"endpoint\":\"" + w.addr +
          "\",\"hull\":\"box\",\"berth\":\"" + w.zone +
          "\",\"driftwood\":" + (w.spot ? "true" : "false") +
-         ",\"tenure\":" + std::to_string(w.session) + ",\"tick\":" + std::to_string(w.sequence) +
-         ",\"epoch\":" + std::to_string(w.epoch) + ",\"warning_s\":" + notice + ",\"shards\":[" +
-         tasks + "]}";
+         ",\"tenure\":" + std::to_string(w.incarnation) +
+         ",\"tick\":" + std::to_string(w.sequence) + ",\"epoch\":" + std::to_string(w.epoch) +
+         ",\"warning_s\":" + notice + ",\"shards\":[" + tasks + "]}";
 }
 
-void World::send_report(Worker& w) {
+void World::send_heartbeat(Worker& w) {
   w.in_flight = true;
   w.changed = false;
   w.last_sent = now_;
   const double jitter = 0.75 + 0.5 * static_cast<double>(random_() % 1000) / 1000.0;
-  w.next_report = now_ + static_cast<Ms>(o_.report_s * 1000 * jitter);
-  const std::uint64_t session = w.session, flight = ++w.flight;
+  w.next_heartbeat = now_ + static_cast<Ms>(o_.heartbeat_interval_s * 1000 * jitter);
+  const std::uint64_t incarnation = w.incarnation, flight = ++w.flight;
   const int node = w.node;
   const Ms sent = now_;
   const std::string id = w.id;
-  const std::string body = report_body(w);
+  const std::string body = heartbeat_body(w);
   if (copies_)
     for (const double late_s : {2.0, o_.lease_s * 2.5})
       schedule(now_ + static_cast<Ms>(late_s * 1000), [this, body] {
@@ -225,15 +225,16 @@
              [](HttpReply) {});
       });
   call(w.addr, {"n" + std::to_string(node), "POST", "/v1/report", body, 4000},
-       [this, id, sent, session, node, flight](HttpReply r) {
+       [this, id, sent, incarnation, node, flight](HttpReply r) {
          Worker& worker = *workers_.at(id);
          if (worker.gone || worker.stopped || worker.flight != flight) return;
          worker.in_flight = false;
-         take_answer(worker, sent, session, r, node);
+         take_answer(worker, sent, incarnation, r, node);
        });
 }
 
-void World::take_answer(Worker& w, Ms sent, std::uint64_t session, const HttpReply& r, int node) {
+void World::take_answer(Worker& w, Ms sent, std::uint64_t incarnation, const HttpReply& r,
+                        int node) {
   if (w.frozen) return;
   if (r.status == 421 && r.body.find("upstream") != std::string::npos) {
     Document d;
@@ -241,18 +242,18 @@
     const int to = std::atoi(d["upstream"].GetString() + 1);
     if (to != node) {
       w.node = to;
-      w.next_report = now_ + 100;
+      w.next_heartbeat = now_ + 100;
       return;
     }
   }
   if (r.status != 200) {
     w.node = (node + 1) % o_.nodes;
-    w.next_report = now_ + 1000;
+    w.next_heartbeat = now_ + 1000;
     return;
   }
   Document d;
   d.Parse(r.body.c_str());
-  if (session != w.session || d["epoch"].GetUint64() < w.epoch) return;
+  if (incarnation != w.incarnation || d["epoch"].GetUint64() < w.epoch) return;
   w.lease_from = sent;
   raise_token(w, d["epoch"].GetUint64());
   obey(w, r.body);
@@ -271,13 +272,13 @@
   Document d;
   d.Parse(body.c_str());
   for (const auto& o : d["orders"].GetArray()) {
-    const std::string verb = o["verb"].GetString(), name = o["shard"].GetString();
+    const std::string type = o["verb"].GetString(), name = o["shard"].GetString();
     const auto slash = name.rfind('/');
     const TaskKey key{name.substr(0, slash),
                       static_cast<std::uint32_t>(std::stoul(name.substr(slash + 1)))};
     const std::uint64_t attempt = o["try"].GetUint64();
     auto it = w.tasks.find(key);
-    if (verb == "launch") {
+    if (type == "launch") {
       if (it != w.tasks.end() && it->second.attempt == attempt) continue;
       w.changed = true;
       const JobSpec& s = specs_[key.first];
@@ -295,7 +296,7 @@
                           : Task{attempt, "exited", "no_room", 0};
     } else if (it == w.tasks.end() || it->second.attempt != attempt) {
       continue;
-    } else if (verb == "kill") {
+    } else if (type == "kill") {
       kill_task(w, key, it->second, o["mercy_s"].GetDouble());
     } else if (it->second.phase == "exited") {
       w.tasks.erase(it);
@@ -310,14 +311,14 @@
     return;
   }
   if (!w.up) return;
-  if (r.path == "/inspect") return done({200, report_body(w)});
+  if (r.path == "/inspect") return done({200, heartbeat_body(w)});
   Document d;
   d.Parse(r.body.c_str());
-  if (d["epoch"].GetUint64() < w.epoch || d["tenure"].GetUint64() != w.session)
-    return done({409, report_body(w)});
+  if (d["epoch"].GetUint64() < w.epoch || d["tenure"].GetUint64() != w.incarnation)
+    return done({409, heartbeat_body(w)});
   raise_token(w, d["epoch"].GetUint64());
   obey(w, r.body);
-  done({200, report_body(w)});
+  done({200, heartbeat_body(w)});
 }
 
 std::size_t World::tasks_on(const std::string& job) const {
--- a/tests/trace_test.cc
+++ b/tests/trace_test.cc
@@ -66,7 +66,7 @@
   w.at(9, [&] { w.crash(1); });
   w.run_until(70);
   expect_usual_load_ends(w);
-  EXPECT_EQ(w.owner_of(1), 1);  // handed back
+  EXPECT_EQ(w.leader_of(1), 1);  // handed back
   compare(w, "one_owner_crashes");
 }
 
@@ -127,14 +127,14 @@
   usual_load(w, 5);
   w.at(9, [&] { w.crash(1, 8); });
   w.at(20, [&] {
-    EXPECT_NE(w.owner_of(1), 1);
+    EXPECT_NE(w.leader_of(1), 1);
     for (int n : {0, 2}) w.state_refuses(n, true);
   });
   w.at(22.5, [&] {
     for (int n : {0, 2}) w.state_refuses(n, false);
   });
   w.run_until(60);
-  EXPECT_EQ(w.owner_of(1), 1);
+  EXPECT_EQ(w.leader_of(1), 1);
   expect_usual_load_ends(w);
   compare(w, "a_hand_back_is_refused");
 }
@@ -147,13 +147,13 @@
   bool cut = false;
   for (double t = 10; t < 20; t += 0.05)
     w.at(t, [&] {
-      if (cut || w.owner_of(1) >= 0) return;
+      if (cut || w.leader_of(1) >= 0) return;
       cut = true;
       w.at(w.now() + 0.25, [&] { w.cut({"n0", "n2"}, {"state"}, CutMode::reset); });
       w.at(w.now() + 2.75, [&] { w.heal(); });
     });
   w.run_until(30);
-  EXPECT_NE(w.owner_of(1), -1);
+  EXPECT_NE(w.leader_of(1), -1);
   w.run_until(60);
   for (const char* id : {"run-102", "run-104", "run-106"}) EXPECT_EQ(w.phase(id), "done") << id;
   compare(w, "a_claim_is_lost");
@@ -370,7 +370,7 @@
 // Every report arrives again, 2 s and 25 s later, before and after a takeover, a move and a return.
 TEST_F(Trace, CopiesOfReportsComeLate) {
   World w({});
-  w.copy_reports(true);
+  w.duplicate_heartbeats(true);
   usual_load(w, 5);
   w.at(7, [&] { w.submit(w.job("run-1", "red", 100, 1, 8)); });
   w.at(15, [&] { w.crash(0); });
@@ -412,10 +412,10 @@
     workers.insert("w-m-" + std::string(6 - n.size(), '0') + n);
   }
   w.at(9, [&] { w.cut({"n1"}, workers, GetParam()); });
-  w.at(30, [&] { EXPECT_NE(w.owner_of(1), 1); });
+  w.at(30, [&] { EXPECT_NE(w.leader_of(1), 1); });
   w.at(50, [&] { w.heal(); });
   w.run_until(90);
-  EXPECT_EQ(w.owner_of(1), 1);
+  EXPECT_EQ(w.leader_of(1), 1);
   w.checker().troubles_over(50);
   expect_usual_load_ends(w);
   expect_no_lease_ends(w);
@@ -430,9 +430,9 @@
   usual_load(w, 5);
   w.at(9, [&] { w.freeze(1, 17); });
   w.at(14, [&] { w.cancel("run-103"); });
-  w.at(25, [&] { EXPECT_NE(w.owner_of(1), 1); });
+  w.at(25, [&] { EXPECT_NE(w.leader_of(1), 1); });
   w.run_until(90);
-  EXPECT_EQ(w.owner_of(1), 1);
+  EXPECT_EQ(w.leader_of(1), 1);
   EXPECT_EQ(w.phase("run-103"), "cancelled");
   EXPECT_EQ(w.phase("run-104"), "done");
   expect_no_lease_ends(w);
@@ -448,7 +448,7 @@
     World w(o);
     usual_load(w, 5);
     w.at(9 + 0.13 * static_cast<double>(seed), [&] { w.freeze(1, 30); });
-    w.at(25, [&] { EXPECT_NE(w.owner_of(1), 1); });
+    w.at(25, [&] { EXPECT_NE(w.leader_of(1), 1); });
     w.run_until(60);
     expect_no_lease_ends(w);
     EXPECT_TRUE(w.checker().broken().empty());
@@ -459,7 +459,7 @@
 // while a part is handed back; late copies of reports follow.
 TEST_F(Trace, ProcessesAreBackInMidElection) {
   World w({});
-  w.copy_reports(true);
+  w.duplicate_heartbeats(true);
   usual_load(w, 5);
   w.at(9, [&] { w.crash(1, 8); });
   for (double t : {14.0, 14.3, 14.6}) w.at(t, [&w] { w.crash(0, 0.2); });
@@ -542,9 +542,9 @@
   std::size_t refused;
 };
 
-class Budget : public testing::TestWithParam<Strain> {};
+class TokenBucket : public testing::TestWithParam<Strain> {};
 
-TEST_P(Budget, UsersGoBeforeProgress) {
+TEST_P(TokenBucket, UsersGoBeforeProgress) {
   Options o;
   o.machines = 90;
   o.limits = true;
@@ -568,6 +568,7 @@
 }
 
 // At 12 changes a second progress alone would take more than there is: 1.2 s when it goes first.
-INSTANTIATE_TEST_SUITE_P(Rates, Budget, testing::Values(Strain{20, 0.3, 30}, Strain{12, 0.9, 60}));
+INSTANTIATE_TEST_SUITE_P(Rates, TokenBucket,
+                         testing::Values(Strain{20, 0.3, 30}, Strain{12, 0.9, 60}));
 
 }  // namespace
--- a/tests/upgrade/conversion_test.cc
+++ b/tests/upgrade/conversion_test.cc
@@ -246,11 +246,11 @@
 }
 
 TEST(ConversionPace, KeepsToItsShare) {
-  upgrade::ConversionPace pace(2);
+  upgrade::ConversionRateLimiter rate_limiter(2);
   std::size_t changes = 0;
   for (Ms now = 1000; now < 101000; now += 50)
-    if (pace.allows(now)) {
-      pace.take(3);
+    if (rate_limiter.allows(now)) {
+      rate_limiter.take(3);
       changes += 3;
     }
   EXPECT_GE(changes, 190u);
@@ -322,9 +322,9 @@
   w.advance_to(30, ClusterVersion::convert);
   for (int n = 0; n < 30; n += 4)
     w.at(36.1 + 0.3 * n, [&w, n] { w.cancel("run-" + std::to_string(n)); });
-  w.at(37, [&] { w.crash(w.owner_of(0), 5); });
-  w.at(43, [&] { w.freeze(w.owner_of(1), 8); });
-  w.at(52, [&] { w.crash(w.owner_of(2), 0.5); });
+  w.at(37, [&] { w.crash(w.leader_of(0), 5); });
+  w.at(43, [&] { w.freeze(w.leader_of(1), 8); });
+  w.at(52, [&] { w.crash(w.leader_of(2), 0.5); });
   w.run_until(75);
   EXPECT_EQ(w.progress_in_bits(), 0u);
   w.ask_now(1, Action::finalize);
@@ -347,7 +347,7 @@
   ASSERT_EQ(stored.size(), 1u);
   const std::string value = R"({"n":"n9.b1.1","chunk":0,"form":7,"runs":[0,2]})";
   w.store(stored[0], value);
-  w.crash(w.owner_of(1), 6);
+  w.crash(w.leader_of(1), 6);
   w.advance_to(35, ClusterVersion::convert);
   w.ask(55, 0, Action::finalize);
   w.run_until(58);
--- a/tests/upgrade/rolling_upgrade_test.cc
+++ b/tests/upgrade/rolling_upgrade_test.cc
@@ -162,8 +162,8 @@
     w.at(30, [&] { w.install(1, ClusterVersion::base, 2); });
     w.run_until(45);
     EXPECT_EQ(w.acting(1), 0u);
-    EXPECT_NE(w.owner_of(1), 1) << "its part goes to another";
-    EXPECT_NE(w.owner_of(1), -1);
+    EXPECT_NE(w.leader_of(1), 1) << "its part goes to another";
+    EXPECT_NE(w.leader_of(1), -1);
     Told ready, status;
     w.raw(1, "GET", "/ready", "", [&](int s, std::string body) { ready = {s, std::move(body)}; });
     w.raw(1, "GET", "/status", "", [&](int s, std::string body) { status = {s, std::move(body)}; });
@@ -177,7 +177,7 @@
     w.run_until(150);
     EXPECT_EQ(w.cluster_version(), 1u);
     EXPECT_EQ(w.acting(1), 1u) << "it acts again";
-    EXPECT_EQ(w.owner_of(1), 1);
+    EXPECT_EQ(w.leader_of(1), 1);
     expect_arrays_ended(w, 5, 60);
     expect_rules_kept(w);
   }
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -50,7 +50,7 @@
   w.at(40, [&] { w.upgrade(2); });
   w.at(50, [&] { w.limit_state(2, 5, 60); });
   w.at(52, [&] { submit_pipeline(w, 5); });
-  w.at(60, [&] { w.crash(w.owner_of(1), 4); });
+  w.at(60, [&] { w.crash(w.leader_of(1), 4); });
   w.run_until(140);
   EXPECT_EQ(mixed[503], 1);  // a peer is known to be old
   expect_ordinary_ended(w);
@@ -95,7 +95,7 @@
   World w(o);
   for (int n = 0; n < 3; ++n) w.at(1 + n, [&w, n] { w.upgrade(n, 0.5); });
   w.at(15, [&] { submit_pipeline(w, 20); });
-  w.at(20, [&] { w.downgrade(w.owner_of(1), 1); });
+  w.at(20, [&] { w.downgrade(w.leader_of(1), 1); });
   w.at(60, [&] {
     EXPECT_EQ(w.tasks_on("run-2"), 0u);
     for (int n = 0; n < 3; ++n) w.upgrade(n, 0.5);
