--- a/src/api/job_admission.cc
+++ b/src/api/job_admission.cc
@@ -40,7 +40,7 @@
   return out;
 }
 
-// A view lags, and a node that has just started has read no ends: the state service is asked for
+// A view lags, and a node that has just started has read no ends: the state store is asked for
 // what is missing. Ends first, since what is done need not be kept in the record.
 void JobAdmission::check_prerequisites(const Pending& p) {
   auto unknown = unknown_prerequisites(p->job);
@@ -57,7 +57,7 @@
   asked.push_back(p->job.id);
   state_store_.find_accepted(asked, [this, p, asked](std::optional<std::set<std::string>> found) {
     if (!found) return end(p, AdmissionResult::unconfirmed);
-    // Guard: a job that was accepted with other prerequisites is not refused for these.
+    // A job that was accepted with other prerequisites is not refused for these.
     if (found->count(p->job.id)) return end(p, AdmissionResult::known);
     if (found->size() + 1 < asked.size()) return end(p, AdmissionResult::unknown_prerequisite);
     write(p);
@@ -102,7 +102,7 @@
 }
 
 // The chunks first, as many at once as a transaction takes; the job is accepted with its record,
-// the last key to be written. Guard: the record stands only beside its last chunk, which goes first
+// the last key to be written. The record stands only beside its last chunk, which goes first
 // when chunks without a job are swept.
 void JobAdmission::write_chunks(const Pending& p) {
   const JobSpec& job = p->job;
--- a/src/api/job_admission.h
+++ b/src/api/job_admission.h
@@ -16,7 +16,7 @@
   accepted,
   known,                 // it was accepted before: its user is told its state
   unknown_prerequisite,  // a prerequisite was never accepted: neither is the job
-  unconfirmed,           // the state service does not tell; the user asks again
+  unconfirmed,           // the state store does not tell; the user asks again
   too_large,             // its record does not fit into a value
 };
 
--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -67,7 +67,7 @@
     spdlog::info("job refused job={} team={} why={}", j.id, j.team, why);
     return reply(422, codec::error_body(why));
   }
-  // Guard: a build that knows no prerequisites would not wait for them.
+  // A build that knows no prerequisites would not wait for them.
   if (!j.prerequisites.empty() && partition_leader_.has_old_peer())
     return refuse(reply, "a controller of an earlier version is still running");
   spdlog::debug(
@@ -96,7 +96,7 @@
   }
 }
 
-// Guard: a known job is not refused, whatever the prerequisites of a repeated submission say.
+// A known job is not refused, whatever the prerequisites of a repeated submission say.
 void JobApi::refuse_if_unknown(const std::string& id, std::string error, Reply reply) {
   state_store_.find_accepted({id}, [this, id, error = std::move(error), reply](auto found) {
     if (!found) return refuse(reply, "the state service does not answer");
@@ -120,7 +120,7 @@
 }
 
 // Invariant 8: what is final stays so and may be told from the cache. For an open job only its
-// owner, while its grant is alive, or the state service itself can speak.
+// leader, while its lease is alive, or the state store itself can speak.
 void JobApi::look_up(const std::string& id, bool cancel, Reply reply) {
   const ClusterView& v = state_store_.view();
   if (auto final_phase = v.finals.find(id); final_phase != v.finals.end())
@@ -138,9 +138,9 @@
   reply(200, cancel ? codec::job_answer(id, phase) : codec::job_status(id, {phase, 0, 0}));
 }
 
-// What the owner or the state service said of an open job may have been long on its way. Guard:
+// What the leader or the state store said of an open job may have been long on its way. Guard:
 // another node may have told the user of its end meanwhile; an older answer would go back on that.
-// Guard: a controller that stood still finds such an answer before any change that came meanwhile.
+// A controller that stood still finds such an answer before any change that came meanwhile.
 void JobApi::reply_open(const std::string& id, bool cancel, OpenJobReply answer,
                         const Reply& reply) const {
   const auto& finals = state_store_.view().finals;
@@ -173,8 +173,8 @@
 }
 
 // Its record is there, but a prerequisite may be cancelled, and with it the job. Only a view that
-// is as new as the question can tell. Guard: its owner may not know yet what this view knows of a
-// cancelled prerequisite, so that is told by the owner alone, or by the job's own final record.
+// is as new as the question can tell. Its leader may not know yet what this view knows of a
+// cancelled prerequisite, so that is told by the leader alone, or by the job's own final record.
 void JobApi::reply_waiting(const std::string& id, const Reply& reply) {
   state_store_.catch_up([this, id, asked_at = runtime_.now(), reply](bool caught_up) {
     const ClusterView& v = state_store_.view();
--- a/src/api/job_api.h
+++ b/src/api/job_api.h
@@ -1,4 +1,4 @@
-// The job API: what users ask of this node, whoever owns the part in question.
+// The job API: what users ask of this node, whoever owns the partition in question.
 #pragma once
 #include <map>
 #include <string>
@@ -13,7 +13,7 @@
 class JobApi {
  public:
   struct Hooks {
-    // Sends a question to a peer over the mesh.
+    // Sends a question to a peer over the peer links.
     std::function<void(const std::string& node, const peer_rpc::JobQuery&)> query_peer;
   };
   struct Counters {
@@ -39,7 +39,7 @@
 
  private:
   Reply counted(std::map<int, std::uint64_t>& by_status, LatencyHistogram& latency, Reply reply);
-  // Asks the owner, here or over the mesh; status 0 when it cannot be had.
+  // Asks the leader, here or over the peer links; status 0 when it cannot be had.
   void query_leader(const std::string& id, bool cancel, Reply reply);
   void look_up(const std::string& id, bool cancel, Reply reply);
   void reply_final(const std::string& id, JobPhase phase, bool cancel, const Reply& reply) const;
--- a/src/cli/upgrade.cc
+++ b/src/cli/upgrade.cc
@@ -109,7 +109,7 @@
               fmt::format("not taken: the cluster is at version {:.0f} by another step", version));
 }
 
-// Guard: the step is not sent again. It lands at most once, and the durable version says whether.
+// The step is not sent again. It lands at most once, and the durable version says whether.
 int resolve(const UpgradeCall& call, const upgrade::StepOrder& order) {
   std::cerr << "eiderreel upgrade: no answer, looking for the outcome of request " << order.request
             << "\n";
--- a/src/codec/json.h
+++ b/src/codec/json.h
@@ -48,7 +48,7 @@
                            const std::string& zone, bool spot, int count);
 std::string scale_in_body(const std::vector<std::string>& machines);
 
-// --- state service ---
+// --- state store ---
 // The records we keep there. `nonce` tells our own write apart when an answer is missing.
 struct PartitionRecord {
   std::string leader;
@@ -134,7 +134,7 @@
 std::optional<StateList> parse_list(const std::string& body);
 std::optional<StateList> parse_events(const std::string& body);
 std::optional<StateRow> parse_row(const std::string& body);
-// A key's row as the state service would show it, for a commit of our own.
+// A key's row as the state store would show it, for a commit of our own.
 std::string stored_row(const std::string& key, const std::string& value, std::uint64_t revision);
 std::optional<std::uint64_t> parse_number(const std::string& body, const char* field);
 // The keys whose preconditions have failed, of an answer to a commit.
@@ -153,7 +153,7 @@
                         const std::vector<Write>& writes, std::uint64_t lease_id);
 std::string lease_request_body(Ms life);
 
-// Keys. All under `e/` is followed by every node; `d/` (done tasks) is read at take-over only.
+// Keys. All under `e/` is followed by every node; `d/` (done tasks) is read at failover only.
 std::string version_key();
 std::string version_prefix();       // followed where cluster versions are enabled
 std::string all_progress_prefix();  // of every partition
--- a/src/codec/json_fields.h
+++ b/src/codec/json_fields.h
@@ -89,7 +89,7 @@
   return s.rfind(prefix, 0) == 0;
 }
 
-// The job in the form in which users submit it; its record in the state service has the same.
+// The job in the form in which users submit it; its record in the state store has the same.
 // The name of the first field that is missing or invalid; empty: none is.
 std::string parse_spec(const Value& d, JobSpec& j);
 // A list of job ids, each taken once; false: it is none. Missing or null, it is empty.
--- a/src/codec/state_json.cc
+++ b/src/codec/state_json.cc
@@ -1,4 +1,4 @@
-// Keys and values kept in the state service, and its requests and answers.
+// Keys and values kept in the state store, and its requests and answers.
 #include <algorithm>
 #include <limits>
 
@@ -101,7 +101,7 @@
   r.version = std::move(record);
 }
 
-// Guard: a build that knows no prerequisites would start the job at once. It finds none of the
+// A build that knows no prerequisites would start the job at once. It finds none of the
 // job's fields in such a record, and leaves the job alone.
 void put_nested_job(Writer& w, const JobSpec& job) {
   w.Key(kNestedJob);
--- a/src/codec/worker_json.cc
+++ b/src/codec/worker_json.cc
@@ -1,4 +1,4 @@
-// Reports of workers, and the commands for them.
+// Heartbeats of workers, and the commands for them.
 #include "codec/json.h"
 #include "codec/json_fields.h"
 
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -14,7 +14,7 @@
   r.whole(t, path, "txn_ops", constants::kLeastTransaction, 100000, s.state_txn_ops);
 }
 
-// The limits that the state service will have from some moment on, without notice: what fits into
+// The limits that the state store will have from some moment on, without notice: what fits into
 // both is all that is ever written, so no moment matters. What is missing stays as it is.
 void read_next_state_limits(TomlReader& r, const toml::table& state, Settings& s) {
   const auto* next = state.get("next");
@@ -100,7 +100,7 @@
       r.number(*e, path, "cpus_max", 0, 1e7, team.quota_cpus);
       r.number(*e, path, "gpus", 0, 1e7, team.fair_share_gpus);
       r.number(*e, path, "gpus_max", 0, 1e7, team.quota_gpus);
-      // Guard: a limit of 0 is none. Taken for a limit it refused every job of guests with 422.
+      // A limit of 0 is none. Taken for a limit it refused every job of guests with 422.
       for (double* most : {&team.quota_cpus, &team.quota_gpus})
         if (*most == 0) *most = std::numeric_limits<double>::infinity();
       if (team.fair_share_cpus > team.quota_cpus)
@@ -112,7 +112,7 @@
       s.teams.push_back(team);
     }
   }
-  // Aims are advice: one that is not understood is passed over.
+  // Objectives are advice: one that is not understood is passed over.
   if (const auto* list = p->get("objectives"); list && list->is_array()) {
     for (const auto& e : *list->as_array()) {
       const auto* o = e.as_table();
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -24,7 +24,7 @@
   std::map<std::string, std::vector<CompletionObjective>>
       completion_objectives;  // by class of jobs
   double fair_share_start_s =
-      constants::kFairShareStartS;  // work within a guarantee starts by then
+      constants::kFairShareStartS;  // work within a fair share starts by then
   std::map<std::string, double>
       start_objectives_s;  // by class: its tasks should start within so long
   double heartbeat_interval_s = 1, lease_s = 10, cancel_s = 40;
@@ -42,13 +42,13 @@
     std::sort(n.begin(), n.end());
     return n;
   }
-  // Machines in one transaction. Guard: one that has more changes than the state service takes in
+  // Machines in one transaction. One that has more changes than the state store takes in
   // a second is always refused, and sent again, for ever.
   int batch() const {
     const double most = state_write_rps * constants::kBatchShare;
     return std::clamp(static_cast<int>(most), 1, state_txn_ops);
   }
-  // The part that a team is in: teams are dealt out in the order of the settings.
+  // The partition that a team is in: teams are dealt out in the order of the settings.
   int partition_of_team(const std::string& team) const {
     for (std::size_t i = 0; i < teams.size(); ++i)
       if (teams[i].name == team)
--- a/src/config/upgrade_settings.h
+++ b/src/config/upgrade_settings.h
@@ -12,7 +12,7 @@
   bool enabled = false;  // no file was given: the controller takes no part in cluster versions
   VersionRange range;    // of the build; the file may lower its upper end
   std::string build;     // its name, for people
-  // Of this controller's part of the changes a second that the state service takes.
+  // Of this controller's part of the changes a second that the state store takes.
   double conversion_share = 0.1;
   bool automatic = false;
   MaintenanceWindows windows;
--- a/src/constants.h
+++ b/src/constants.h
@@ -15,38 +15,40 @@
 constexpr Ms kProofMarginMs = 250;  // ms; timer steps and a slow processor on both sides
 constexpr Ms kTickMs = 50;          // ms; pace of all periodic work, fine enough for deferring
 
-// --- grants, parts ------------------------------------------------------------------------
-constexpr Ms kLeaseTtlMs = 5000;         // ms; a dead owner's part is vacant after this
+// --- leases, partitions ------------------------------------------------------------------------
+constexpr Ms kLeaseTtlMs = 5000;         // ms; a dead leader's partition is vacant after this
 constexpr Ms kLeaseRenewEveryMs = 1000;  // ms; four tries within one life
-constexpr Ms kLeaseMarginMs = 300;       // ms; an owner stops acting this early
+constexpr Ms kLeaseMarginMs = 300;       // ms; an leader stops acting this early
 constexpr Ms kClaimPreferredAliveMs =
-    2500;                              // ms; a vacant part waits so long for its living home node
-constexpr Ms kClaimOtherMs = 300;      // ms; pause before claiming a part whose home node is gone
-constexpr Ms kWorkerSilenceMs = 1000;  // ms; beyond the time in which every machine reports
-constexpr Ms kProbeEveryMs = 500;      // ms; a node that hears nothing asks a worker this often
+    2500;  // ms; a vacant partition waits so long for its living preferred leader
+constexpr Ms kClaimOtherMs =
+    300;  // ms; pause before claiming a partition whose preferred leader is gone
+constexpr Ms kWorkerSilenceMs =
+    1000;                          // ms; beyond the time in which every machine sends a heartbeat
+constexpr Ms kProbeEveryMs = 500;  // ms; a node that hears nothing asks a worker this often
 constexpr Ms kClaimWorkersLostMs = 3000;  // ms; more, for a node that hears no worker
-constexpr Ms kFailbackAfterMs = 4000;     // ms; a home node must have been up so long
-constexpr Ms kBalanceEveryMs = 1000;      // ms; pace of the leader's advice on machines
+constexpr Ms kFailbackAfterMs = 4000;     // ms; a preferred leader must have been up so long
+constexpr Ms kBalanceEveryMs = 1000;      // ms; pace of the cluster leader's advice on machines
 
 constexpr Ms kCordonMs = 3000;  // ms; advice to let machines run empty, renewed while it holds
-constexpr Ms kVoteMs = 3000;    // ms; a peer's promise not to claim; a fresh process waits
+constexpr Ms kVoteMs = 3000;    // ms; a peer's vote not to claim; a fresh process waits
                                 // it out, so it is short
-constexpr Ms kVoteRequestEveryMs = 500;        // ms; several tries within one promise
+constexpr Ms kVoteRequestEveryMs = 500;        // ms; several tries within one vote
 constexpr Ms kStateSilentMs = 1500;            // ms; without an answer so long, an outage is likely
 constexpr std::size_t kOpenVoteRequests = 16;  // questions whose sending time is kept
 constexpr Ms kFinalRetryMs = 1000;             // ms; pause before a final commit is tried again
 
 // --- workers ------------------------------------------------------------------------------
-constexpr Ms kDeferBusyMs = 400;        // ms; under the half second a worker waits between reports
-constexpr Ms kDeferIdleMs = 2500;       // ms; longest deferring of an idle machine, well under 4 s
-constexpr Ms kCommandTimeoutMs = 2000;  // ms; kills by /commands; the next report repeats them
+constexpr Ms kDeferBusyMs = 400;   // ms; under the half second a worker waits between heartbeats
+constexpr Ms kDeferIdleMs = 2500;  // ms; longest deferring of an idle machine, well under 4 s
+constexpr Ms kCommandTimeoutMs = 2000;  // ms; kills by /commands; the next heartbeat repeats them
 constexpr Ms kWorkerPatienceMs = 4000;  // ms; a worker drops an answer that takes longer; protocol
-constexpr Ms kHoldHeartbeatMs = 2000;   // ms; a report waits so long for a new owner: a takeover is
-                                        // over by then, and the worker still waits
+constexpr Ms kHoldHeartbeatMs = 2000;  // ms; a heartbeat waits so long for a new leader: a failover
+                                       // is over by then, and the worker still waits
 constexpr int kInboundLossAnswers =
     3;  // answers in a row without a trace; one or two are lost by chance
 constexpr int kTokenAnnouncements =
-    2;                             // answers that tell a machine a term which it then does not show
+    2;  // answers that tell a machine a fencing token which it then does not show
 constexpr Ms kStarvedMs = 120000;  // ms; half of the four minutes in which every job should begin
 constexpr Ms kBegunMs = 35000;     // ms; a start stopped within 30 s of its running does not count
 constexpr int kUnhealthyErrors = 3;  // failures without a success before a machine is quarantined
@@ -58,25 +60,26 @@
 constexpr int kJobBadMachines = 3;      // a job that failed on so many machines is itself suspect
 constexpr Ms kImageWaitMs = 900;        // ms; a service waits so long for a machine with its image
 constexpr double kServicesAlike = 0.7;  // of the most services on a machine; so many are alike
-constexpr int kServiceMachines = 4;     // one of so many reports within the wait, nearly always
+constexpr int kServiceMachines = 4;     // one of so many heartbeats within the wait, nearly always
 constexpr Ms kServicePackMs = 500;      // ms; a service waits so long to join other services
 constexpr double kReserveShare = 1.0 / 16;  // of a machine with services, at most, is kept for them
-constexpr double kReserveReplicas = 2;      // so many are likely to come before a report
+constexpr double kReserveReplicas = 2;      // so many are likely to come before a heartbeat
 constexpr Ms kPackWaitMs = 1500;            // ms; an array waits so long for fuller machines
-constexpr Ms kPreemptAfterMs = 250;         // ms; several machines have reported by then
-constexpr Ms kReclaimMarginMs = 1000;       // ms; a guarantee is reclaimed so long before its aim
+constexpr Ms kPreemptAfterMs = 250;         // ms; several machines have sent a heartbeat by then
+constexpr Ms kReclaimMarginMs = 1000;  // ms; a fair share is reclaimed so long before its objective
 constexpr double kFairShareStartS =
-    5;  // s; work within a guarantee starts by then, if no aim says else
+    5;  // s; work within a fair share starts by then, if no objective says else
 constexpr Ms kReclaimSoonestMs = 500;  // ms; at once would stop work that ends by itself
 constexpr Ms kFetchWeight = 2;         // times the fetch; a job without its image is so much later
 constexpr std::size_t kImagesKnown = 4096;  // besides those of open jobs; far more than are cached
 constexpr Ms kReorderMs = 250;              // ms; how stale the order of the queue may be
 constexpr Ms kStartAllowanceMs = 3000;      // ms; from start to running, over the estimate
-constexpr Ms kUnboundedMs = 300000;         // ms; the latest start of a job without aim or deadline
-constexpr int kPatienceTargets = 4;         // times its last aim; a job that late goes first again
-constexpr int kAttemptBits = 24;            // bits; attempts within one term, below the term's bits
+constexpr Ms kUnboundedMs = 300000;  // ms; the latest start of a job without objective or deadline
+constexpr int kPatienceTargets = 4;  // times its last objective; a job that late goes first again
+constexpr int kAttemptBits =
+    24;  // bits; attempts within one fencing token, below the fencing token's bits
 
-// --- state service ------------------------------------------------------------------------
+// --- state store ------------------------------------------------------------------------
 constexpr double kLeastValueKb = 1;     // KiB; the record of a job without lists, and some more
 constexpr int kLeastTransaction = 2;    // changes; a job's final record and its record's deletion
 constexpr double kBudgetShare = 0.9;    // share of the rates used; the rest absorbs clock skew
@@ -105,14 +108,15 @@
 constexpr std::size_t kStatusWaiting = 20;       // waiting jobs that /status names
 constexpr std::size_t kStatusPrerequisites = 5;  // prerequisites it names of each
 constexpr std::uint32_t kProgressChunkTasks =
-    32768;                                   // tasks; 4 KiB of bits, 5.5 KiB as base64, under 8 KiB
-constexpr std::size_t kFinalCache = 20000;   // finished jobs remembered; older ones are read again
-constexpr std::size_t kFinishedKept = 2000;  // jobs that ended, to be handed over with a promise;
-                                             // minutes of a busy day, an owner is behind by seconds
+    32768;                                  // tasks; 4 KiB of bits, 5.5 KiB as base64, under 8 KiB
+constexpr std::size_t kFinalCache = 20000;  // finished jobs remembered; older ones are read again
+constexpr std::size_t kFinishedKept =
+    2000;  // jobs that ended, to be handed over with a vote;
+           // minutes of a busy day, an leader is behind by seconds
 
 // --- upgrades -----------------------------------------------------------------------------
 constexpr Ms kVersionRetryMs = 50;  // ms; a change of version is learnt from one answer
-constexpr int kStepTries = 2;  // of a step; its operator hears within two state service timeouts
+constexpr int kStepTries = 2;       // of a step; its operator hears within two state store timeouts
 constexpr Ms kAutomaticEveryMs = 10000;    // ms; pace of automatic steps, so that each is settled
 constexpr std::size_t kHistoryKept = 200;  // steps asked for; older ones are deleted
 constexpr std::size_t kHistoryRecordBytes = 900;  // bytes; below the smallest limit of a value
@@ -132,14 +136,14 @@
 constexpr int kRetryAfterS = 1;       // s; told to users who are refused
 constexpr int kHeadersMax = 16384;    // bytes
 constexpr int kIdleConnectionS = 60;  // s; users poll every 5 s, so an idle one is dead
-constexpr double kPendingLeast = 32;  // requests to the state service waiting at once
+constexpr double kPendingLeast = 32;  // requests to the state store waiting at once
 
 constexpr int kLatencyBuckets = 12;      // of the histograms in /metrics
 constexpr double kLatencyLowMs = 1;      // ms; steps of a timer
 constexpr double kLatencyHighMs = 8192;  // ms; beyond a user's patience of 5 s
 constexpr Ms kStatusTimeoutMs = 3000;    // ms; `eiderreel status` gives up
 
-// --- mesh ---------------------------------------------------------------------------------
+// --- peer links ---------------------------------------------------------------------------------
 constexpr Ms kPeerRedialMs = 500;                    // ms
 constexpr Ms kPeerStuckMs = 4000;                    // ms; unsent bytes or a dial without progress
 constexpr Ms kPeerIdleTimeoutMs = 10000;             // ms; peers speak every half second
@@ -153,20 +157,22 @@
 constexpr Ms kCloudTimeoutMs = 8000;   // ms
 constexpr Ms kListEveryMs = 3000;      // ms
 constexpr Ms kCatalogEveryMs = 60000;  // ms; prices move slowly
-constexpr Ms kLeaderSettlesMs = 8000;  // ms; a new leader first hears of machines and needs
+constexpr Ms kLeaderSettlesMs = 8000;  // ms; a new cluster leader first hears of machines and needs
 constexpr double kServiceRoom = 1.5;   // times what services use; room for the next ones
-constexpr double kGiverWaits = 0.25;   // of the waiting work of the part in need: a giver's most
-constexpr double kCordonShare = 0.75;  // of a part's free room that is given to one in need
+constexpr double kGiverWaits =
+    0.25;  // of the waiting work of the partition in need: a giver's most
+constexpr double kCordonShare = 0.75;  // of a partition's free room that is given to one in need
 constexpr double kDrainAfterS =
     70;  // s; well under the 90 that a job may wait beside room elsewhere
-constexpr double kCordonLeastCpus = 8;         // CPUs; less waiting is not worth a move
-constexpr double kBaseShare = 0.5;             // share of machines dealt out by guarantees alone
-constexpr Ms kFleetEveryMs = 1000;             // ms
-constexpr Ms kUnschedulableAfterMs = 4000;     // ms; by then all machines that fit have reported
-constexpr std::size_t kUnschedulableMost = 8;  // jobs; told to the leader at once
-constexpr Ms kNeedLastsMs = 2000;         // ms; a lack of room must last before it is rented for
-constexpr Ms kIdleReturnMs = 10000;       // ms; an idle machine is soon missed nowhere
-constexpr Ms kIdleKeepMs = 180000;        // ms; the same where slack is short beside a boot
+constexpr double kCordonLeastCpus = 8;  // CPUs; less waiting is not worth a move
+constexpr double kBaseShare = 0.5;      // share of machines dealt out by fair shares alone
+constexpr Ms kFleetEveryMs = 1000;      // ms
+constexpr Ms kUnschedulableAfterMs =
+    4000;  // ms; by then all machines that fit have sent a heartbeat
+constexpr std::size_t kUnschedulableMost = 8;  // jobs; told to the cluster leader at once
+constexpr Ms kNeedLastsMs = 2000;    // ms; a lack of room must last before it is provisioned for
+constexpr Ms kIdleReturnMs = 10000;  // ms; an idle machine is soon missed nowhere
+constexpr Ms kIdleKeepMs = 180000;   // ms; the same where slack is short beside a boot
 constexpr double kCostSavingBoots = 1.2;  // times the boot time; slack above it allows cost saving
 constexpr double kPatience = 1.32;        // share of the slack that a queue may last
 constexpr double kWaitShare = 0.75;       // of a stated wait, taken as slack; the rest is for boots
@@ -174,11 +180,11 @@
 constexpr double kSlackWeight = 0.1;      // share of a new job in the usual slack
 constexpr Ms kConsolidateAfterMs = 4000;  // ms; room must be left over so long
 constexpr double kConsolidateSpareRoom =
-    0.05;                                 // share of a part's CPUs that stays free beside the queue
-constexpr Ms kConsolidateNextMs = 500;    // ms; then one machine after the other
-constexpr Ms kNoCapacityPauseMs = 15000;  // ms; before a refused type and zone is asked again
-constexpr double kStuckBoots = 4.0;       // times ready_s before a starting machine is returned
-constexpr int kProvisionMost = 50;        // machines in one request; the cloud's limit
+    0.05;  // share of a partition's CPUs that stays free beside the queue
+constexpr Ms kConsolidateNextMs = 500;       // ms; then one machine after the other
+constexpr Ms kNoCapacityPauseMs = 15000;     // ms; before a refused type and zone is asked again
+constexpr double kStuckBoots = 4.0;          // times ready_s before a starting machine is returned
+constexpr int kProvisionMost = 50;           // machines in one request; the cloud's limit
 constexpr std::size_t kTerminateMost = 100;  // machines in one return; the cloud's limit
 
 }  // namespace constants
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,4 +1,4 @@
-// One node of the service: its actors, wired to each other, the HTTP routes and the mesh.
+// One node of the service: its actors, wired to each other, the HTTP routes and the peer links.
 #pragma once
 #include <string>
 
--- a/src/fleet/fleet_manager.cc
+++ b/src/fleet/fleet_manager.cc
@@ -43,7 +43,7 @@
 // --------------------------------------------------------------------------- assignment
 
 void FleetManager::assign(const Heartbeat& r, Reply reply) {
-  // Guard: a late copy of a report is no reason to assign a machine that is gone.
+  // A late copy of a heartbeat is no reason to assign a machine that is gone.
   if (types_.empty() || terminated_.count(r.machine)) return reply(503, "");
   assigner_.add(r, std::move(reply));
 }
@@ -61,7 +61,7 @@
     hooks_.send(p->second.leader, move);
 }
 
-// Idle machines move from parts where nothing waits to the part in need.
+// Idle machines move from partitions where nothing waits to the partition in need.
 void FleetManager::rebalance() {
   auto partition_loads = partition_leader_.partition_loads();
   double largest = 0;
@@ -83,7 +83,7 @@
   }
   raise_to_fair_share(partition_loads, largest);
   drain_one_machine(partition_loads);
-  // A part with free room but no idle machine lets some run empty for the one that waits most.
+  // A partition with free room but no idle machine lets some run empty for the one that waits most.
   for (auto& [to, load] : partition_loads) {
     double want = load.waiting_cpus;
     for (auto& [from, other] : partition_loads) {
@@ -99,7 +99,7 @@
   }
 }
 
-// Guard: a job must not wait beside room that services of other parts keep from running empty. One
+// A job must not wait beside room that services of other partitions keep from running empty. One
 // machine at a time: to move services costs what users notice.
 void FleetManager::drain_one_machine(const std::map<int, PartitionLoad>& partition_loads) {
   double smallest = types_.front().cpus;
@@ -121,9 +121,9 @@
     hooks_.send(p->second.leader, peer_rpc::CordonRequest{from, cpus, drain});
 }
 
-// Guard: a part that has given its idle machines away is bare when its own work comes; while all
+// A partition that has given its idle machines away is bare when its own work comes; while all
 // others have work waiting too, nobody gave it any, and it starved for ever. Below its base by the
-// guarantees it gets machines from the part that is furthest above its own.
+// fair shares it gets machines from the partition that is furthest above its own.
 void FleetManager::raise_to_fair_share(const std::map<int, PartitionLoad>& partition_loads,
                                        double largest) {
   if (static_cast<int>(partition_loads.size()) < settings_.partition_count) return;
@@ -148,7 +148,7 @@
   }
 }
 
-// ------------------------------------------------------------------------- rent and return
+// ------------------------------------------------------------------------- scale out and in
 
 void FleetManager::scale_out_and_in() {
   const Ms now = runtime_.now();
@@ -178,7 +178,7 @@
     coming_cpus += m.type->cpus;
     if (m.spot) coming_spot += m.type->cpus;
   }
-  // Guard: jobs bound to a zone whose machines were lost waited for ever while idle ones elsewhere
+  // Jobs bound to a zone whose machines were lost waited for ever while idle ones elsewhere
   // made up for them in the sums.
   for (const auto& [p, n] : partition_loads)
     for (const auto& [id, cpus] : n.unschedulable) {
@@ -195,9 +195,9 @@
     }
   for (const auto& t : types_) boot = std::max(boot, t.boot_s);
   // Where the usual slack before a deadline is long beside a boot time, cost saving costs little:
-  // enough is rented for the queue to be worked off within a part of the slack. (What is done
+  // enough is provisioned for the queue to be worked off within a part of the slack. (What is done
   // during a boot is not taken off: while work keeps coming, as much is added.) Services wait for
-  // nothing. Elsewhere all that waits is rented for.
+  // nothing. Elsewhere all that waits is provisioned for.
   const bool saves_cost = all.slack_s >= k::kCostSavingBoots * boot;
   // A small fleet evens out less, so its queue is given less time.
   const double machines = static_cast<double>(listed_machines_.size());
@@ -230,7 +230,7 @@
     provisioner_.provision_cheapest(
         lasts ? lack : 0, std::max(cheaper, all.waiting_spot_cpus > coming_cpus ? lack : 0.0));
   // Machines idle for long are released while nothing waits, ordinary ones first: they are dearer.
-  // Guard: spot ones that dearer machines do the work of would be rented again at once.
+  // Spot ones that dearer machines do the work of would be provisioned again at once.
   double surplus = all.idle_cpus - all.waiting_cpus;
   for (bool spot : {false, true}) {
     if (spot && saves_cost) surplus = std::min(surplus, -cheaper);
@@ -247,7 +247,7 @@
   std::vector<PendingMachine> out;
   for (const auto& [id, r] : provisioner_.provisioned())
     if (const MachineType* t = find_type(types_, r.type)) out.push_back({t, r.zone, r.spot});
-  // Guard: at a start of the whole service hundreds of machines are up that no part has yet.
+  // At a start of the whole service hundreds of machines are up that no partition has yet.
   for (const auto& [id, m] : listed_machines_)
     if (m.listed.phase != "failed" && !provisioner_.provisioned().count(id) &&
         !state_store_.view().machines.count(id))
@@ -265,7 +265,7 @@
     list_sent_ = runtime_.now();
   }
   cloud_.call({"", "GET", path, "", 0}, [this, since](HttpReply r) {
-    // Guard: a list of more pages than a moment's rate allows began anew for ever, and was never
+    // A list of more pages than a moment's rate allows began anew for ever, and was never
     // read to its end.
     if (r.status == k::kOverLimit && !since.empty() && partition_leader_.is_cluster_leader()) {
       runtime_.after(k::kRetryMs, [this, since] { list_machines(since); });
@@ -299,8 +299,8 @@
   const ClusterView& v = state_store_.view();
   const Ms lag = static_cast<Ms>(settings_.list_lag_s * 2000 * (1 + k::kDrift));
   std::vector<std::string> terminated;
-  // Guard: a key may stand for a machine that was gone before we led, and that a late copy of a
-  // report brought back. It is known from now on, and forgotten when lists go on without it.
+  // A key may stand for a machine that was gone before we led, and that a late copy of a
+  // heartbeat brought back. It is known from now on, and forgotten when lists go on without it.
   for (const auto& [id, m] : v.machines)
     if (auto [e, fresh] = listed_machines_.try_emplace(id); fresh) {
       e->second.last_seen = now;
@@ -337,7 +337,7 @@
 }
 
 // Invariant 10: released durably first. A machine that stopped by itself holds nothing that
-// could run, so its owner need not be asked; one that never came up has no owner.
+// could run, so its leader need not be asked; one that never came up has no leader.
 void FleetManager::release(const std::string& id, const codec::MachineRecord& record,
                            std::uint64_t revision) {
   if (!changing_.insert(id).second) return;
--- a/src/fleet/fleet_manager.h
+++ b/src/fleet/fleet_manager.h
@@ -1,5 +1,6 @@
-// The fleet: machines of the cloud. Only the leader acts, the owner of part 0: it has new machines
-// assigned to parts, advises moves of idle ones, rents and returns. Every node reads the catalog.
+// The fleet: machines of the cloud. Only the cluster leader acts, the leader of partition 0: it has
+// new machines assigned to partitions, advises moves of idle ones, scales out and in. Every node
+// reads the catalog.
 #pragma once
 #include <map>
 #include <set>
@@ -29,7 +30,7 @@
   void start(Hooks hooks);
   void tick();
   void assign(const Heartbeat& r,
-              Reply reply);  // an unknown machine has reported to us, the leader
+              Reply reply);  // an unknown machine has sent a heartbeat to us, the cluster leader
   const Counters& counters() const { return counters_; }
   const CloudClient& cloud() const { return cloud_; }
   const MachineProvisioner& provisioner() const { return provisioner_; }
@@ -39,7 +40,7 @@
     codec::ListedMachine listed;
     Ms last_seen = 0;
   };
-  struct PendingMachine {  // a machine that is rented and not in use yet
+  struct PendingMachine {  // a machine that is provisioned and not in use yet
     const MachineType* type = nullptr;
     std::string zone;
     bool spot = false;
--- a/src/fleet/machine_assigner.cc
+++ b/src/fleet/machine_assigner.cc
@@ -49,7 +49,7 @@
 }
 
 // A new machine goes where most is asked for what is there. Ordinary machines are dealt out by
-// what cannot run on spot ones, above all services; the guarantees count as a base, so that no
+// what cannot run on spot ones, above all services; the fair shares count as a base, so that no
 // partition is left bare.
 int MachineAssigner::choose_partition(std::vector<Share>& shares, double cpus, bool spot) {
   double all_weights = 0, all_cpus = cpus;
--- a/src/fleet/machine_assigner.h
+++ b/src/fleet/machine_assigner.h
@@ -1,4 +1,4 @@
-// The machine assigner: gives machines that report for the first time to the partition with the
+// The machine assigner: gives machines whose first heartbeat arrives to the partition with the
 // greatest need, by a durable commit before their first start.
 #pragma once
 #include <functional>
@@ -11,7 +11,7 @@
 
 namespace eiderreel {
 
-// What the guarantees of a partition's teams come to, in CPUs; its share of the machines at least.
+// What the fair shares of a partition's teams come to, in CPUs; its share of the machines at least.
 double fair_share_cpus_of(const Settings& settings, int partition);
 
 class MachineAssigner {
@@ -23,8 +23,8 @@
   // Called with each machine whose assignment has ended, whatever came of it.
   void start(std::function<void(const std::string& machine)> ended) { ended_ = std::move(ended); }
 
-  // A machine without a partition has reported; the newest report is kept, and answered once the
-  // machine is assigned.
+  // A machine without a partition has sent a heartbeat; the newest heartbeat is kept, and answered
+  // once the machine is assigned.
   void add(const Heartbeat& r, Reply reply);
   // Machines that come up together are dealt out together, many in a transaction.
   void assign_all();
--- a/src/fleet/machine_provisioner.cc
+++ b/src/fleet/machine_provisioner.cc
@@ -118,7 +118,7 @@
         } else if (r.status == 503 || r.status == 400) {
           refused_[slot(t, zone, spot)] = runtime_.now() + k::kNoCapacityPauseMs;
         } else if (tries > 1) {
-          // Without an answer the same charter is asked again: it rents once at most.
+          // Without an answer the same charter is asked again: it provisions once at most.
           runtime_.after(k::kRetryMs, [=, this] {
             send_provision_request(t, zone, spot, count, request_name, tries - 1);
           });
--- a/src/fleet/machine_provisioner.h
+++ b/src/fleet/machine_provisioner.h
@@ -1,5 +1,5 @@
-// Machine rental: asks the cloud for machines, the cheapest that will do, and knows which of them
-// are still on their way. Only the leader rents.
+// Machine provisioning: asks the cloud for machines, the cheapest that will do, and knows which of
+// them are still on their way. Only the cluster leader provisions.
 #pragma once
 #include <cstdint>
 #include <map>
--- a/src/leadership/conversion_pace.h
+++ b/src/leadership/conversion_pace.h
@@ -1,4 +1,4 @@
-// How fast stored progress is converted: within a share of the state service's changes, and
+// How fast stored progress is converted: within a share of the state store's changes, and
 // counted.
 #pragma once
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 class ConversionRateLimiter {
  public:
-  // `changes_per_s`: what the conversion may take of the state service's changes.
+  // `changes_per_s`: what the conversion may take of the state store's changes.
   explicit ConversionRateLimiter(double changes_per_s) : changes_per_s_(changes_per_s) {}
 
   // Whether a commit may go now. One that takes more changes than are saved up is paid for
--- a/src/leadership/job_persistence.cc
+++ b/src/leadership/job_persistence.cc
@@ -1,4 +1,4 @@
-// What the owner writes of its jobs: progress and final records, and the sweep of keys that are of
+// What the leader writes of its jobs: progress and final records, and the sweep of keys that are of
 // no more use.
 #include <spdlog/spdlog.h>
 
@@ -17,8 +17,8 @@
 }
 
 // Invariant 7: done and cancelled are told only after this commit. It is tried until its outcome
-// is proven, for as long as we are the owner, and nothing of the job is started. A job whose tasks
-// are all done is done, also for a user who calls it off.
+// is proven, for as long as we are the leader, and nothing of the job is started. A job whose tasks
+// are all done is done, also for a user who cancels it.
 void PartitionLeader::commit_final(int partition, const std::string& id, Reply reply) {
   LedPartition& o = led_partitions_.at(partition);
   JobPersistence& f = o.persistence[id];
@@ -51,7 +51,7 @@
   state_store_.compare_and_swap(std::move(c));
 }
 
-// Guard: in doubt it stays in doubt. A later try of it that was refused once let the job's tasks
+// In doubt it stays in doubt. A later try of it that was refused once let the job's tasks
 // start again; then the first landed after all, and another node said "cancelled" while they ran.
 void PartitionLeader::final_committed(int partition, const std::string& id,
                                       std::uint64_t fencing_token, CasOutcome out, JobPhase phase,
@@ -77,7 +77,7 @@
 
 void PartitionLeader::persist(int partition, LedPartition& o) {
   const Ms now = runtime_.now();
-  // While it is silent, users alone are a reason to try; it is asked for the grant all the time.
+  // While it is silent, users alone are a reason to try; it is asked for the lease all the time.
   const bool silent = now - state_store_.last_good() >= k::kStateSilentMs;
   for (const auto& id : o.core->jobs_to_record()) {
     JobPersistence& f = o.persistence[id];
@@ -96,7 +96,7 @@
   convert_progress(partition, o);
 }
 
-// Jobs that were called off while they waited for others, as far as that is not proven yet.
+// Jobs that were cancelled while they waited for others, as far as that is not proven yet.
 void PartitionLeader::commit_finals_of_waiting(int partition, LedPartition& o) {
   std::vector<std::string> ids;
   for (const auto& [id, f] : o.persistence)
@@ -146,8 +146,8 @@
   state_store_.compare_and_swap(std::move(c));
 }
 
-// Keys that are of no more use: progress of jobs that are over, found at a takeover or left by a
-// final commit that was full; for the leader also spread prerequisites.
+// Keys that are of no more use: progress of jobs that are over, found at a failover or left by a
+// final commit that was full; for the cluster leader also spread prerequisites.
 void PartitionLeader::collect_garbage(int partition, LedPartition& o) {
   if (collecting_garbage_) return;
   const auto most = static_cast<std::size_t>(settings_.batch());
@@ -199,8 +199,8 @@
   if (!batch.empty()) commit_progress(partition, o, id, nonce, std::move(batch), false);
 }
 
-// One job at a time, and only within the share of the state service's changes that the operators
-// leave to it. What is left to do stands in the values themselves, so any owner can go on with it.
+// One job at a time, and only within the share of the state store's changes that the operators
+// leave to it. What is left to do stands in the values themselves, so any leader can go on with it.
 void PartitionLeader::convert_progress(int partition, LedPartition& o) {
   const auto policy = state_store_.progress_policy();
   if (!state_store_.acting_version().enabled() || !policy.convert_to) return;
@@ -217,7 +217,7 @@
     conversion_rate_limiter_.take(batch.writes.size() + batch.deletes.size());
     return commit_progress(partition, o, id, nonce, std::move(batch), true);
   }
-  // Guard: a look at all jobs in every tick would cost more than the conversion itself.
+  // A look at all jobs in every tick would cost more than the conversion itself.
   o.look_for_conversion_at = runtime_.now() + k::kConversionLookMs;
 }
 
--- a/src/leadership/partition_claims.cc
+++ b/src/leadership/partition_claims.cc
@@ -1,5 +1,5 @@
-// Whose part is whose: claims, promises, activation, hand-back and loss. What an owner does with
-// the machines of a part stands in owner.cc, what it does with its jobs in owner_jobs.cc.
+// Whose partition is whose: claims, votes, activation, failback and loss. What an leader does with
+// the machines of a partition stands in leader.cc, what it does with its jobs in owner_jobs.cc.
 #include <spdlog/spdlog.h>
 
 #include "leadership/partition_leader.h"
@@ -8,8 +8,8 @@
 
 namespace k = constants;
 
-// Invariant 6: whoever is not surely the owner does nothing. Sure is who has a live grant, or,
-// while nobody reaches the state service, the promises of all peers not to claim its parts.
+// Invariant 6: whoever is not surely the leader does nothing. Sure is who has a live lease, or,
+// while nobody reaches the state store, the votes of all peers not to claim its partitions.
 bool PartitionLeader::may_act() const {
   if (state_store_.lease_alive()) return true;
   if (state_store_.lease_id() == 0 || settings_.peers.empty()) return false;
@@ -25,8 +25,8 @@
   return it != led_partitions_.end() && it->second.active && may_act();
 }
 
-// Asked as soon as the state service is silent, so that the promises are there when the grant
-// can no longer be sure. A promise counts from the sending of the question.
+// Asked as soon as the state store is silent, so that the votes are there when the lease
+// can no longer be sure. A vote counts from the sending of the question.
 void PartitionLeader::request_votes() {
   const Ms now = runtime_.now();
   if (led_partitions_.empty() || now - state_store_.last_good() < k::kStateSilentMs ||
@@ -47,8 +47,8 @@
 void PartitionLeader::receive_vote(const std::string& node, const peer_rpc::Vote& p) {
   auto asked = vote_requests_.find(p.number);
   if (asked == vote_requests_.end() || !p.granted) return;
-  // Guard: our view stands still while promises keep us acting. What the peer may have told its
-  // users we must know first: such a job's tasks went on for as long as the state service was down.
+  // Our view stands still while votes keep us acting. What the peer may have told its
+  // users we must know first: such a job's tasks went on for as long as the state store was down.
   state_store_.replica().merge_finished(p.finished);
   const Ms until =
       asked->second + static_cast<Ms>(k::kVoteMs * (1 - k::kDrift)) - k::kLeaseMarginMs;
@@ -56,9 +56,9 @@
   held = std::max(held, until);
 }
 
-// We promise only while we do not reach the state service either, and only to the owner that we
+// We vote only while we do not reach the state store either, and only to the leader that we
 // last saw there. A claim of ours that may still land forbids it. An earlier process of this
-// node had a grant that is ended before we have one, so none of its claims can land any more.
+// node had a lease that is ended before we have one, so none of its claims can land any more.
 bool PartitionLeader::may_vote(const std::string& node, const peer_rpc::VoteRequest& a) const {
   const ClusterView& v = state_store_.view();
   const Ms now = runtime_.now();
@@ -75,11 +75,11 @@
   return true;
 }
 
-// With the promise goes every end of a job that the asker's view may lack; a node that has not
-// followed for as long as that cannot know them all, and promises nothing.
+// With the vote goes every end of a job that the asker's view may lack; a node that has not
+// followed for as long as that cannot know them all, and gives no vote.
 peer_rpc::Vote PartitionLeader::vote_on(const std::string& node, const peer_rpc::VoteRequest& a) {
-  // Guard: a node that the state service refused alone, before the outage, has not seen the claim
-  // of the part that it lost. It promised nothing then, and all leases of the part ended.
+  // A node that the state store refused alone, before the outage, has not seen the claim
+  // of the partition that it lost. It gave no vote then, and all leases of the partition ended.
   for (const auto& [partition, revision] : a.partitions)
     state_store_.replica().merge_claim(partition, node, revision);
   auto closed = state_store_.replica().finished_since(a.store_revision);
@@ -90,7 +90,7 @@
   return {a.number, true, std::move(*closed)};
 }
 
-// ----------------------------------------------------------- claims, hand-back and loss
+// ----------------------------------------------------------- claims, failback and loss
 
 void PartitionLeader::claim_vacant_partitions() {
   const ClusterView& v = state_store_.view();
@@ -102,7 +102,7 @@
       continue;
     }
     const Ms since = vacant_since_.emplace(partition, now).first->second;
-    // Invariant 6: a promise is kept, also one that an earlier process of this node has given.
+    // Invariant 6: a vote is kept, also one that an earlier process of this node has given.
     if (now < voted_until_[partition]) continue;
     const auto last = last_leader_.find(partition);
     const bool ours = last != last_leader_.end() && last->second == settings_.node;
@@ -130,9 +130,9 @@
   const std::uint64_t lease_id = state_store_.lease_id();
   c.done = [this, partition, lease_id](CasOutcome o, std::uint64_t revision) {
     if (o == CasOutcome::ok && lease_id == state_store_.lease_id()) activate(partition, revision);
-    // In doubt it may still land: the part's key will tell (see part_changed). Guard: it may also
-    // never land, so the part is claimed again; a part nobody may claim stays without owner.
-    // Guard: that another claim stands there now says nothing of an earlier try without answer.
+    // In doubt it may still land: the partition's key will tell (see part_changed). It may also
+    // never land, so the partition is claimed again; a partition nobody may claim stays without
+    // leader. That another claim stands there now says nothing of an earlier try without answer.
     if ((o == CasOutcome::unknown || o == CasOutcome::superseded) &&
         lease_id == state_store_.lease_id())
       claims_in_doubt_.insert(partition);
@@ -155,7 +155,7 @@
                        static_cast<Ms>(settings_.fair_share_start_s * 1000)},
       settings_.teams_of(partition));
   o.core->set_types(types_);
-  // The picture is whole once the view has our claim: nothing of the part's changes after it
+  // The picture is whole once the view has our claim: nothing of the partition's changes after it
   // without us, but for new jobs and machines, which the view will tell.
   state_store_.when_applied(revision,
                             [this, partition, revision] { load_progress(partition, revision); });
@@ -212,7 +212,7 @@
 }
 
 void PartitionLeader::lease_lost() {
-  claims_in_doubt_.clear();  // what is tethered to a grant that is over cannot land any more
+  claims_in_doubt_.clear();  // what is tethered to a lease that is over cannot land any more
   while (!led_partitions_.empty()) step_down(led_partitions_.begin()->first, "grant-lost");
 }
 
@@ -235,14 +235,14 @@
   if (!ours) step_down(partition, "key-changed");
 }
 
-// Whether a part may be given up now: the state service surely hears of it.
+// Whether a partition may be given up now: the state store surely hears of it.
 bool PartitionLeader::may_relinquish() const {
   return state_store_.lease_alive() &&
          runtime_.now() - state_store_.last_good() < k::kStateSilentMs;
 }
 
-// The key of a part is deleted under guard, and another node claims it. We stop acting before the
-// commit is sent, since it may land unanswered.
+// The key of a partition is deleted under guard, and another node claims it. We stop acting before
+// the commit is sent, since it may land unanswered.
 void PartitionLeader::relinquish(int partition, const char* reason) {
   const std::uint64_t revision = led_partitions_.at(partition).core->fencing_token();
   step_down(partition, reason);
@@ -251,7 +251,7 @@
   delete_claim(partition, revision);
 }
 
-// A part whose home node is up again, and hears workers, goes back to it.
+// A partition whose preferred leader is up again, and hears workers, goes back to it.
 void PartitionLeader::fail_back() {
   const ClusterView& v = state_store_.view();
   const Ms now = runtime_.now();
@@ -299,9 +299,9 @@
   return it != peers_.end() && !it->second.status.hears_workers && peer_alive(node);
 }
 
-// Guard: a controller that has lost its workers alone keeps its grant, and would keep its parts;
-// their leases would end, all of them together. It gives the parts to a peer that hears workers,
-// in time for them to find it.
+// A controller that has lost its workers alone keeps its lease, and would keep its partitions;
+// their leases would end, all of them together. It gives the partitions to a peer that hears
+// workers, in time for them to find it.
 void PartitionLeader::relinquish_if_workers_lost() {
   if (hears_workers() || !may_relinquish()) return;
   const bool heard =
@@ -317,9 +317,9 @@
     }
 }
 
-// Guard: until the deletion has surely landed the key says that the part is ours, while nobody acts
-// for it. Refused once and not sent again, it stood there for ever: all machines of the part were
-// sent from node to node and back, and no task of it started any more.
+// Until the deletion has surely landed the key says that the partition is ours, while nobody acts
+// for it. Refused once and not sent again, it stood there for ever: all machines of the partition
+// were sent from node to node and back, and no task of it started any more.
 void PartitionLeader::delete_claim(int partition, std::uint64_t revision) {
   CompareAndSwap c;
   c.nonce = state_store_.nonce();
--- a/src/leadership/partition_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -1,5 +1,5 @@
-// The jobs of the owner's parts: how they open and close, and questions about them. What is written
-// of them stands in owner_persistence.cc.
+// The jobs of the leader's partitions: how they open and close, and questions about them. What is
+// written of them stands in owner_persistence.cc.
 #include <spdlog/spdlog.h>
 
 #include "leadership/partition_leader.h"
@@ -25,8 +25,8 @@
                dependencies.cancelled(id));
 }
 
-// Invariant 11: the last of its prerequisites is durably done. Until now the part knew nothing of
-// the job: it took part in no limit, no guarantee, no need of machines.
+// Invariant 11: the last of its prerequisites is durably done. Until now the partition knew nothing
+// of the job: it took part in no limit, no fair share, no need of machines.
 void PartitionLeader::job_ready(const std::string& id) {
   const auto job = state_store_.view().jobs.find(id);
   if (job == state_store_.view().jobs.end()) return;
@@ -34,14 +34,14 @@
   if (!o || !o->active) return;
   spdlog::info("job ready job={} term={}", id, o->core->fencing_token());
   open_in(*o, id, {});
-  // Guard: its user has called it off while it waited, and that is still to be recorded.
+  // Its user has cancelled it while it waited, and that is still to be recorded.
   if (auto f = o->persistence.find(id); f != o->persistence.end() && f->second.cancel_asked)
     o->core->cancel_job(id);
   answer_deferred(*o);
 }
 
 // Opens a job that is free to start. A job that became so after our claim never had a task under an
-// earlier owner, whenever it was accepted.
+// earlier leader, whenever it was accepted.
 void PartitionLeader::open_in(LedPartition& o, const std::string& id,
                               const std::vector<std::uint32_t>& done) {
   const ClusterView& v = state_store_.view();
@@ -91,22 +91,22 @@
   auto status = o->core->status(a.job);
   if (!status) return reply(0, "");
   if (!a.cancel) {
-    // Guard: while a final commit may have landed, a peer may have read it and told its users. What
-    // we hold to be open would then go back on that; the state service alone can tell.
+    // While a final commit may have landed, a peer may have read it and told its users. What
+    // we hold to be open would then go back on that; the state store alone can tell.
     auto f = o->persistence.find(a.job);
     if (f != o->persistence.end() && f->second.final_commit) return reply(0, "");
     return reply(200, codec::job_status(a.job, *status));
   }
-  // Its tasks are of no use to anyone from now on. Guard: killed only after the commit, they went
+  // Its tasks are of no use to anyone from now on. Killed only after the commit, they went
   // on for as long as its outcome was in doubt.
   o->core->cancel_job(a.job);
   send_kills(*o);
   commit_final(partition, a.job, std::move(reply));
 }
 
-// A question about a job that waits for others. Invariant 12: its owner alone tells that it is
+// A question about a job that waits for others. Invariant 12: its leader alone tells that it is
 // cancelled by implication, so that nobody tells older news after that, and whoever owns it next
-// knows all that this owner knew.
+// knows all that this leader knew.
 void PartitionLeader::query_waiting_job(int partition, const peer_rpc::JobQuery& a, Reply reply) {
   if (state_store_.view().dependencies.cancelled(a.job))
     return reply(200, a.cancel ? codec::job_answer(a.job, JobPhase::cancelled)
--- a/src/leadership/partition_leader.cc
+++ b/src/leadership/partition_leader.cc
@@ -79,12 +79,12 @@
   return out;
 }
 
-// ------------------------------------------------------------------------------ reports
+// ------------------------------------------------------------------------------ heartbeats
 
 void PartitionLeader::heartbeat(const Heartbeat& r, Reply reply) {
   ++counters_.reports;
   workers_silent_ms_ = 0;
-  // A newer report of the worker: it no longer waits for the answer to the held one.
+  // A newer heartbeat of the worker: it no longer waits for the answer to the held one.
   if (auto held = held_heartbeats_.find(r.machine); held != held_heartbeats_.end()) {
     auto old = std::move(held->second.reply);
     held_heartbeats_.erase(held);
@@ -104,7 +104,7 @@
   if (m->second.record.partition < 0) return reply(503, "");  // released; it is being returned
   LedPartition* o = acting_partition(m->second.record.partition);
   if (!o) return redirect(r, m->second.record.partition, std::move(reply));
-  // A newer report of the worker: it no longer waits for the answer to the deferred one.
+  // A newer heartbeat of the worker: it no longer waits for the answer to the deferred one.
   if (auto old = o->take_deferred(r.machine)) old(503, "");
   const Ms now = runtime_.now();
   HeartbeatReply a = o->core->on_heartbeat(r, now);
@@ -125,15 +125,15 @@
   reply_to_heartbeat(*o, r.machine, std::move(a.commands), std::move(reply));
 }
 
-// Whether the node that owns a part, or owned it last, is a peer that is not heard of.
+// Whether the node that owns a partition, or led it last, is a peer that is not heard of.
 bool PartitionLeader::leader_silent(int partition) const {
   const auto leader = last_leader_.find(partition);
   return leader != last_leader_.end() && leader->second != settings_.node &&
          !peer_alive(leader->second);
 }
 
-// Guard: a worker that is sent to an owner that has stopped waits 4 s for it, for the second time,
-// and its lease ends. Where the owner is silent, the report is held for a takeover.
+// A worker that is sent to an leader that has stopped waits 4 s for it, for the second time,
+// and its lease ends. Where the leader is silent, the heartbeat is held for a failover.
 void PartitionLeader::redirect(const Heartbeat& r, int partition, Reply reply) {
   if (!leader_silent(partition)) return redirect_to_leader(partition, reply);
   held_heartbeats_[r.machine] = {r, partition, std::move(reply),
@@ -147,7 +147,7 @@
   reply(421, codec::upstream_body(it->second.leader));
 }
 
-// Held reports go where they belong once that is known. Silence is no proof that the owner has
+// Held heartbeats go where they belong once that is known. Silence is no proof that the leader has
 // stopped, so in the end its name is told all the same.
 void PartitionLeader::release_held_heartbeats() {
   std::vector<HeldHeartbeat> ready;
@@ -181,7 +181,7 @@
 }
 
 // Work has come or room has freed: the deferred machines are looked at, one by one. Invariant 6,
-// guard: whoever has stood still finds changes of the state service before its own pace, and the
+// guard: whoever has stood still finds changes of the state store before its own pace, and the
 // lease may be over by then.
 void PartitionLeader::answer_deferred(LedPartition& o) {
   if (!acting(o.core->index())) return;
@@ -201,8 +201,8 @@
   }
 }
 
-// Invariant 6: without a lease they are kept until the owner is sure of it again, or drops the
-// part.
+// Invariant 6: without a lease they are kept until the leader is sure of it again, or drops the
+// partition.
 void PartitionLeader::send_kills(LedPartition& o) {
   if (!acting(o.core->index())) return;
   for (auto& kill : o.core->take_kills()) {
@@ -217,7 +217,7 @@
                    k::kCommandTimeoutMs, true},
                   [this, partition, machine = kill.machine,
                    fencing_token = o.core->fencing_token()](HttpReply r) {
-                    // Its next report tells what came of it. Guard: without an answer it may be
+                    // Its next heartbeat tells what came of it. Without an answer it may be
                     // mute, and hear of the kill in no other way.
                     if (r.status == 0) retry_kills(partition, fencing_token, machine);
                   });
@@ -260,8 +260,8 @@
   }
 }
 
-// The leader's advice. Invariant 3: only the owner gives machines away, idle, under guard. Those
-// that go are decided as a class, in as few transactions as the state service allows.
+// The cluster leader's advice. Invariant 3: only the leader gives machines away, idle, under guard.
+// Those that go are decided as a class, in as few transactions as the state store allows.
 void PartitionLeader::transfer_machines(const peer_rpc::TransferRequest& m) {
   LedPartition* o = acting_partition(m.partition);
   if (!o || m.to == m.partition || m.to >= settings_.partition_count) return;
@@ -295,8 +295,8 @@
   send_transfer(partition, fencing_token, machines, std::move(c));
 }
 
-// Guard: in doubt they stay on their way out, and the same commit is tried until it is proven done
-// or undone. A later try that was refused once let their owner use them again; then the first
+// In doubt they stay on their way out, and the same commit is tried until it is proven done
+// or undone. A later try that was refused once let their leader use them again; then the first
 // landed after all, and their tasks were started a second time while they still ran.
 void PartitionLeader::send_transfer(int partition, std::uint64_t fencing_token,
                                     const std::vector<std::string>& machines, CompareAndSwap c) {
@@ -354,7 +354,7 @@
     if (!o.active) continue;
     const bool acts = acting(partition);
     for (const auto& id : o.core->tick(now)) {
-      if (!acts) continue;  // they report to somebody else
+      if (!acts) continue;  // they send heartbeats to somebody else
       ++counters_.lease_expiries;
       spdlog::info("machine gone machine={} part={} term={} proof=lease", id, partition,
                    o.core->fencing_token_of(id));
--- a/src/leadership/partition_leader.h
+++ b/src/leadership/partition_leader.h
@@ -1,5 +1,5 @@
-// The part owner: claims parts, keeps their grants in mind, answers reports and asks of its parts.
-// It alone speaks for a part, and only while its grant is surely alive.
+// The partition leader: claims partitions, keeps their leases in mind, answers heartbeats and asks
+// of its partitions. It alone speaks for a partition, and only while its lease is surely alive.
 #pragma once
 #include <map>
 #include <memory>
@@ -17,9 +17,9 @@
 class PartitionLeader {
  public:
   struct Hooks {
-    // An unknown machine has reported here, and we lead: assign it.
+    // An unknown machine has sent a heartbeat here, and we lead: assign it.
     std::function<void(const Heartbeat&, Reply)> assign;
-    // News of load for the leader and the hand-back.
+    // News of load for the cluster leader and the failback.
     std::function<void(const peer_rpc::Body&)> broadcast;
   };
   struct Counters {
@@ -46,7 +46,7 @@
   void machine_changed(const std::string& id);
   void partition_changed(int partition);
   void lease_lost();
-  // A peer asks us not to claim its parts for a while; what we promise, and what we hand over.
+  // A peer asks us not to claim its partitions for a while; what we vote, and what we hand over.
   peer_rpc::Vote vote_on(const std::string& node, const peer_rpc::VoteRequest& a);
   void receive_vote(const std::string& node, const peer_rpc::Vote& p);
   void types_known(const std::vector<MachineType>& types);
@@ -58,7 +58,7 @@
   // Whether a peer is known to run a build that knows no prerequisites. A peer of which nothing is
   // known is none: it may be away for long.
   bool has_old_peer() const;
-  // The newest need of every part, ours and the peers'.
+  // The newest need of every partition, ours and the peers'.
   std::map<int, PartitionLoad> partition_loads() const;
   std::map<int, const PartitionScheduler*> partitions() const;
   const Counters& counters() const { return counters_; }
@@ -67,7 +67,7 @@
   std::optional<ConversionProgress> conversion() const;
   // The same of a peer, if it is heard and tells it.
   std::optional<ConversionProgress> peer_conversion(const std::string& node) const;
-  // Partitions of which no owner is heard, here or among the peers.
+  // Partitions of which no leader is heard, here or among the peers.
   std::vector<int> unheard_partitions() const;
 
  private:
@@ -75,7 +75,7 @@
     Reply reply;
     Ms until = 0;
   };
-  struct HeldHeartbeat {  // one that no controller can answer until a part has an owner again
+  struct HeldHeartbeat {  // one that no controller can answer until a partition has an leader again
     Heartbeat heartbeat;
     int partition = 0;
     Reply reply;
@@ -174,11 +174,11 @@
   std::map<int, Ms> vacant_since_;
   std::map<int, std::string> last_leader_;
   std::set<int> claiming_;         // a claim of ours is on its way
-  std::set<int> claims_in_doubt_;  // one may still land, for as long as our grant lasts
-  std::map<int, Ms> voted_until_;  // parts that we must not claim until then
+  std::set<int> claims_in_doubt_;  // one may still land, for as long as our lease lasts
+  std::map<int, Ms> voted_until_;  // partitions that we must not claim until then
   std::map<int, std::uint64_t>
       deleting_claims_;  // dropped by us, their keys (revisions) not yet deleted
-  // Promises of peers to us: the sending time of the question, and until when each holds.
+  // Votes of peers to us: the sending time of the question, and until when each holds.
   std::map<std::uint64_t, Ms> vote_requests_;
   std::map<std::string, Ms> votes_;
   Ms votes_requested_at_ = 0, started_ = 0;
--- a/src/leadership/progress_plan.h
+++ b/src/leadership/progress_plan.h
@@ -20,11 +20,11 @@
 struct StoredProgress {
   std::uint64_t revision = 0;
   ProgressForm form = ProgressForm::bits;
-  bool unreadable = false;  // in neither form: never written, converted or deleted by its owner
+  bool unreadable = false;  // in neither form: never written, converted or deleted by its leader
 };
 using StoredValues = std::map<std::string, StoredProgress>;  // by key
 
-// What a row of the state service holds; one that is not there has revision 0.
+// What a row of the state store holds; one that is not there has revision 0.
 StoredProgress stored_progress(const codec::StateRow& row);
 
 // The job whose progress is stored.
@@ -32,7 +32,7 @@
   int partition = 0;
   std::string id;
   std::uint32_t tasks = 0;
-  std::size_t value_bytes = 0;  // the largest value that the state service takes
+  std::size_t value_bytes = 0;  // the largest value that the state store takes
   // Of so many tasks from the first one on, those that are done.
   std::function<std::vector<std::uint32_t>(std::uint32_t first, std::uint32_t count)> done;
   const StoredValues& stored;
--- a/src/model/types.h
+++ b/src/model/types.h
@@ -1,4 +1,4 @@
-// The terms of the core: what a job asks for, what a worker reports, what it is told.
+// The vocabulary of the scheduler: what a job asks for, what a worker heartbeats, what it is told.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -87,7 +87,7 @@
   std::uint64_t revision = 0;
 };
 
-// What a node takes of the state service: requests and changes a second.
+// What a node takes of the state store: requests and changes a second.
 struct StoreUsage {
   double requests = 0, changes = 0;
 };
--- a/src/net/event_loop.cc
+++ b/src/net/event_loop.cc
@@ -53,7 +53,7 @@
                                           EVHTTP_REQ_DELETE | EVHTTP_REQ_HEAD | EVHTTP_REQ_PATCH |
                                           EVHTTP_REQ_OPTIONS);
   evhttp_set_gencb(server_, &Loop::on_http, this);
-  // Guard: after an end of all controllers every worker and user connects to the first that is
+  // After an end of all controllers every worker and user connects to the first that is
   // back; the queue of connections not yet accepted holds as many as there may be (libevent's own:
   // 128).
   sockaddr_in sin = to_sockaddr(settings_.api_addr);
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,4 +1,4 @@
-// libevent under the actors: the loop, with the HTTP server, the clients and the mesh links.
+// libevent under the actors: the loop, with the HTTP server, the clients and the peer links.
 #pragma once
 #include <functional>
 #include <map>
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -52,7 +52,7 @@
 
 namespace {
 
-// Guard: where it could not connect or timed out, libevent does not free a connection "on
+// Where it could not connect or timed out, libevent does not free a connection "on
 // completion"; each such request left its connection behind for ever.
 void free_connection_soon(event_base* base, evhttp_connection* connection) {
   const timeval now{};
--- a/src/net/http_reply.cc
+++ b/src/net/http_reply.cc
@@ -49,7 +49,7 @@
 
 PendingReply::~PendingReply() {
   if (!req_) return;
-  // Nobody answered. Guard: a request is never left hanging.
+  // Nobody answered. A request is never left hanging.
   if (!finished_) send(503, "");
   if (req_) evhttp_request_free(req_);
 }
--- a/src/peer_rpc/messages.h
+++ b/src/peer_rpc/messages.h
@@ -1,4 +1,4 @@
-// Messages between nodes, as values; their form on the wire is Cap'n Proto (mesh.capnp).
+// Messages between nodes, as values; their form on the wire is Cap'n Proto (peer_messages.capnp).
 #pragma once
 #include <optional>
 #include <string>
@@ -21,7 +21,7 @@
 };
 struct PeerStatus {
   std::vector<std::pair<int, PartitionLoad>> partition_loads;
-  StoreUsage use;              // of the state service by the sender
+  StoreUsage use;              // of the state store by the sender
   bool hears_workers = true;   // whether it hears of workers
   std::uint64_t features = 0;  // of the sender's build, see constants::kFeatures
   // Nothing: the sender takes no part in cluster versions.
--- a/src/scheduler/dependency_graph.h
+++ b/src/scheduler/dependency_graph.h
@@ -86,7 +86,7 @@
     bool cancelled = false;
     Priority priority = Priority::best_effort;
     std::optional<Ms> deadline;  // time of day
-    Ms run_ms = 0;               // from its start to its end, as its owner estimates
+    Ms run_ms = 0;               // from its start to its end, as its submitter estimates
     Readiness readiness;
     Nodes prerequisites, dependents;
     Urgency inherited;
--- a/src/scheduler/heartbeat_reconciliation.cc
+++ b/src/scheduler/heartbeat_reconciliation.cc
@@ -1,4 +1,5 @@
-// Reports: what a machine's report proves of the tasks on it, and what its answer has to carry.
+// Heartbeats: what a machine's heartbeat proves of the tasks on it, and what its answer has to
+// carry.
 #include "scheduler/partition_scheduler.h"
 
 namespace eiderreel {
@@ -6,7 +7,7 @@
 // A machine that fails everything is told apart from a job that fails everywhere: a job that
 // failed on several machines no longer counts against machines, and pauses itself instead.
 void PartitionScheduler::record_failure(Machine& m, Job& j, Ms now) {
-  // Guard: not for ever; the machine may be well again, and the only one with room.
+  // Not for ever; the machine may be well again, and the only one with room.
   j.avoided_machines[m.id] = now + constants::kQuarantineMaxMs;
   if (static_cast<int>(j.avoided_machines.size()) >= constants::kJobBadMachines && j.done == 0) {
     j.backoff =
@@ -26,7 +27,7 @@
   m.quarantine_until = now + m.quarantine_ms;
 }
 
-// A machine whose reports arrive but which our answers do not reach. Guard: each 200 counts as an
+// A machine whose heartbeats arrive but which our answers do not reach. Each 200 counts as an
 // answer that it may have had, so its lease would never seem over, and it would be given tasks
 // again and again. One lost answer proves nothing: it then gets one task at a time until one shows.
 void PartitionScheduler::record_lost_reply(Machine& m, Ms now) {
@@ -37,8 +38,8 @@
   return m.lost_replies >= constants::kInboundLossAnswers;
 }
 
-// Kills for the tasks in a report whose job is over or called off. They hold whatever the age of
-// the report: such a job is never started again, and a kill names one attempt.
+// Kills for the tasks in a heartbeat whose job is over or cancelled. They hold whatever the age of
+// the heartbeat: such a job is never started again, and a kill names one attempt.
 std::vector<Command> PartitionScheduler::owed_kills(const Heartbeat& r) const {
   std::vector<Command> kills;
   for (const TaskStatus& task : r.tasks) {
@@ -79,12 +80,12 @@
 }
 
 bool PartitionScheduler::is_outdated(const Machine& m, const Heartbeat& r) const {
-  // A worker that has seen a higher term has another owner: our view is behind.
+  // A worker that has seen a higher fencing token has another leader: our view is behind.
   if (r.fencing_token > fencing_token_of(m.id)) return true;
   if (!m.heartbeat_received) return false;
-  // Late and repeated messages: only the newest (session, sequence) counts.
+  // Late and repeated messages: only the newest (incarnation, sequence) counts.
   if (std::pair(r.incarnation, r.sequence) <= std::pair(m.incarnation, m.sequence)) return true;
-  // After its lease ended by our clock, a machine must show a new session.
+  // After its lease ended by our clock, a machine must show a new incarnation.
   return m.lease_expired && r.incarnation == m.incarnation;
 }
 
@@ -92,7 +93,7 @@
 void PartitionScheduler::begin_incarnation(Machine& m, Ms now) {
   release_all_tasks(m);
   m.images.clear();
-  // Its lease ended although we answered: it did not hear. Then this session starts on trial.
+  // Its lease ended although we answered: it did not hear. Then this incarnation starts on trial.
   if (!m.lease_expired && now - m.last_reply < limits_.lease_ms) record_lost_reply(m, now);
   if (m.lease_expired && has_inbound_loss(m)) m.lost_replies = constants::kInboundLossAnswers - 1;
   m.token_announcements = 0;
@@ -115,18 +116,20 @@
     m.taken_at.reset();
 }
 
-// Invariant 5: only a report sent under our term proves anything. A report from before may be
-// minutes late, and another owner may have started tasks since. The answer tells the term.
+// Invariant 5: only a heartbeat sent under our fencing token proves anything. A heartbeat from
+// before may be minutes late, and another leader may have started tasks since. The answer tells the
+// fencing token.
 HeartbeatReply PartitionScheduler::announce_token(Machine& m, const Heartbeat& r, Ms now) {
   const std::uint64_t fencing_token = fencing_token_of(m.id);
   if (m.token_announcements++ == 0) m.first_announced_at = now;
-  // It was told our term, twice, and does not show it.
+  // It was told our fencing token, twice, and does not show it.
   if (m.token_announcements > constants::kTokenAnnouncements &&
       now - m.first_announced_at > constants::kWorkerPatienceMs)
     return {HeartbeatVerdict::stale, fencing_token, {}};
-  // Invariant 7. Guard: this answer renews the lease like any other. Without kills in it, tasks of
+  // Invariant 7. This answer renews the lease like any other. Without kills in it, tasks of
   // a job whose user had been told that it is cancelled outlived `cancel_s`: machines that hung
-  // at the cancellation were told the term of a new owner, and could not be reached after that.
+  // at the cancellation were told the fencing token of a new leader, and could not be reached after
+  // that.
   return {HeartbeatVerdict::ok, fencing_token, owed_kills(r)};
 }
 
@@ -180,7 +183,7 @@
   if (bound == m.tasks.end()) {
     Job* job = find_job(task);
     if (!job || job->state[task.index] != TaskState::queued) return bind_orphan(m, task, job, now);
-    bind(m, *job, task.index, task.attempt, task.phase);  // found after a takeover
+    bind(m, *job, task.index, task.attempt, task.phase);  // found after a failover
     m.tasks[key].seen = true;
     if (job->cancelling) m.tasks[key].stop_grace_s = 0;
     return;
@@ -222,8 +225,8 @@
   m.tasks[{task.job, task.index}] = b;
 }
 
-// Invariant 4: a launch is open until this report; what it lacks was never started or is gone. True
-// when a start left no trace.
+// Invariant 4: a launch is open until this heartbeat; what it lacks was never started or is gone.
+// True when a start left no trace.
 bool PartitionScheduler::release_missing(Machine& m, const std::set<TaskKey>& on_machine) {
   bool start_lost = false;
   std::vector<TaskKey> missing;
--- a/src/scheduler/job_queue.cc
+++ b/src/scheduler/job_queue.cc
@@ -1,4 +1,4 @@
-// The queue of a part: in which order its jobs are served, and which of them wait.
+// The queue of a partition: in which order its jobs are served, and which of them wait.
 #include <cmath>
 
 #include "scheduler/partition_scheduler.h"
@@ -9,7 +9,7 @@
 // Who goes first: the smaller one. `later`: so much less urgent than it is.
 template <class J>
 auto urgency(const J& j, Ms later) {
-  // Guard: idle-time work starved behind a queue of higher priority that never ended.
+  // Idle-time work starved behind a queue of higher priority that never ended.
   const Priority priority = j.starved ? std::max(j.priority, Priority::standard) : j.priority;
   return std::tuple(-static_cast<int>(priority), !j.starved, j.missed_objectives,
                     j.latest_start + later, j.revision);
@@ -17,17 +17,17 @@
 
 }  // namespace
 
-// Within a priority, oldest first among jobs that nothing is expected of. Where an aim or a
+// Within a priority, oldest first among jobs that nothing is expected of. Where an objective or a
 // deadline stands, its latest start takes the place of the age: an extension of the design,
-// measured (see docs/design.md). A job that can no longer meet an aim lets those that can go first,
-// but not for ever.
+// measured (see docs/design.md). A job that can no longer meet an objective lets those that can go
+// first, but not for ever.
 void PartitionScheduler::sort_queue(Ms now) {
   queue_sorted_at_ = now;
   waiting_jobs_valid_ = false;
   for (Job* j : queue_) {
     const Ms run = static_cast<Ms>(j->spec.estimate_s * 1000) + constants::kStartAllowanceMs;
     j->missed_objectives = 0;
-    // Guard: whatever its aims, and however many others are more urgent, a job begins in time.
+    // Whatever its objectives, and however many others are more urgent, a job begins in time.
     j->starved = !j->has_started && now - j->ready >= constants::kStarvedMs;
     j->latest_start = j->ready + constants::kUnboundedMs;
     if (j->target_times.empty()) continue;
@@ -44,7 +44,7 @@
                    [](const Job* a, const Job* b) { return urgency(*a, 0) < urgency(*b, 0); });
 }
 
-// Guard: with an image for every job the numbers would grow for ever. What machines have cached is
+// With an image for every job the numbers would grow for ever. What machines have cached is
 // learned again; until then a fetch may be expected that is none.
 void PartitionScheduler::forget_images() {
   image_numbers_.clear();
@@ -164,7 +164,7 @@
     double want = std::min(j->queued * j->spec.cpus, room[j->team]);
     room[j->team] -= want;
     n.waiting_cpus += want;
-    // Guard: a job that waits beside room of other parts, on machines that never run empty.
+    // A job that waits beside room of other partitions, on machines that never run empty.
     if (j->bound == 0 && want >= j->spec.cpus)
       n.waited_s = std::max(n.waited_s, static_cast<double>(now - j->waiting_since) / 1000);
     if (j->spec.spot) n.waiting_spot_cpus += want;
--- a/src/scheduler/partition_scheduler.cc
+++ b/src/scheduler/partition_scheduler.cc
@@ -32,7 +32,7 @@
   m->revision = revision;
   m->reconciled = fresh;
   unreconciled_known_ = false;
-  // Invariant 5: the last answer another owner could have given is not later than our claim.
+  // Invariant 5: the last answer another leader could have given is not later than our claim.
   m->last_reply = fresh ? now : claimed_at_;
   m->last_heartbeat = now;
   m->idle_since = now;
@@ -46,7 +46,8 @@
   unreconciled_known_ = false;
 }
 
-// Invariant 2: the term of a machine is the newest revision of its part's or its own key.
+// Invariant 2: the fencing token of a machine is the newest revision of its partition's or its own
+// key.
 std::uint64_t PartitionScheduler::fencing_token_of(const std::string& id) const {
   auto it = machines_.find(id);
   return it == machines_.end() ? fencing_token_ : std::max(fencing_token_, it->second->revision);
@@ -68,7 +69,7 @@
                                                            Ms now) const {
   std::vector<const Machine*> idle;
   for (const auto& [id, m] : machines_)
-    // Guard: one that was let run empty is given away at once; its advice is renewed all the time.
+    // One that was let run empty is given away at once; its advice is renewed all the time.
     if (m->spot == spot && schedulable(*m, now) && m->tasks.empty() &&
         (!rested || now - m->idle_since >= idle_keep_ms()))
       idle.push_back(m.get());
--- a/src/scheduler/partition_scheduler.h
+++ b/src/scheduler/partition_scheduler.h
@@ -1,7 +1,7 @@
-// One part as its owner sees it: the jobs of its teams, its machines, and what runs where.
+// One partition as its leader sees it: the jobs of its teams, its machines, and what runs where.
 // Pure: no I/O and no clock. Every call takes the time; what is to be done comes back as values.
 //
-// Promise: a task is bound to at most one machine, and leaves it only with proof that it is gone.
+// Safety: a task is bound to at most one machine, and leaves it only with proof that it is gone.
 #pragma once
 #include <array>
 #include <map>
@@ -22,15 +22,15 @@
   Ms heartbeat_interval_ms = 1000;
   std::map<std::string, std::vector<CompletionObjective>> completion_objectives;  // by class
   std::map<std::string, double> start_objectives_s;  // seconds to a start, by class
-  Ms fair_share_start_ms = 5000;                     // work within a guarantee should start by then
+  Ms fair_share_start_ms = 5000;  // work within a fair share should start by then
 
-  // The time in which every machine reports; an interval is a quarter longer at most.
+  // The time in which every machine sends a heartbeat; an interval is a quarter longer at most.
   Ms heartbeat_round_ms() const { return heartbeat_interval_ms * 5 / 4; }
 };
 
 enum class HeartbeatVerdict {
   ok,     // answer with `orders`
-  stale,  // an older message, or one above our term: answer 503, learn nothing
+  stale,  // an older message, or one above our fencing token: answer 503, learn nothing
 };
 
 struct HeartbeatReply {
@@ -39,18 +39,18 @@
   std::vector<Command> commands;
 };
 
-// What the part lacks and what it has to spare, told to the leader.
+// What the partition lacks and what it has to spare, told to the cluster leader.
 struct PartitionLoad {
   double waiting_cpus = 0;       // of tasks that could start now but for room
   double waiting_spot_cpus = 0;  // that part of it that may use spot machines
   double waiting_service_cpus = 0;
-  double waiting_core_s = 0;  // work of the waiting tasks by their owners' estimates
+  double waiting_core_s = 0;  // work of the waiting tasks by their submitters' estimates
   double slack_s = 0;         // usual time between a job's estimate and its deadline; 0: unknown
   double wait_s = 0;          // the shortest in which an array should start; 0: none stated
   double used_cpus = 0, used_service_cpus = 0;
   double total_cpus = 0, spot_cpus = 0;  // of all machines, of spot ones
   // Of machines that hold nothing, and of those that have held nothing for so long that they may
-  // go back; ordinary and spot ones. Never by name: a part may have hundreds.
+  // go back; ordinary and spot ones. Never by name: a partition may have hundreds.
   double idle_cpus = 0, idle_spot_cpus = 0, releasable_cpus = 0, releasable_spot_cpus = 0;
   std::uint32_t idle_machines = 0;
   double waited_s = 0;  // the longest that a job of which nothing runs has waited
@@ -97,8 +97,9 @@
   std::uint64_t job_revision(const std::string& id) const;
   void begin_finalizing(const std::string& id);  // a final commit is on its way: start nothing
   bool is_finalizing(const std::string& id) const;
-  void cancel_job(const std::string& id);  // its user has called it off: its tasks are killed
-  void close_job(const std::string& id);   // final: what still runs is killed as it is reported
+  void cancel_job(const std::string& id);  // its user has cancelled it: its tasks are killed
+  void close_job(
+      const std::string& id);  // final: what still runs is killed as it is seen in a heartbeat
   // Tasks that ended well and are not recorded yet; `mark_recorded` allows their `clear`.
   std::vector<std::uint32_t> unrecorded(const std::string& id) const;
   void mark_recorded(const std::string& id, const std::vector<std::uint32_t>& tasks);
@@ -110,9 +111,9 @@
   std::uint32_t task_count(const std::string& id) const;
 
   // --- events ---
-  // Takes in a report. The answer has the kills and clears; starts come from `place`.
+  // Takes in a heartbeat. The answer has the kills and clears; starts come from `place`.
   HeartbeatReply on_heartbeat(const Heartbeat& r, Ms now);
-  // Starts for this machine alone, to be put into the answer to its newest report.
+  // Starts for this machine alone, to be put into the answer to its newest heartbeat.
   std::vector<Command> place_tasks(const std::string& machine, Ms now);
   // An answer with status 200 was handed to the network now.
   void heartbeat_answered(const std::string& machine, Ms now);
@@ -121,13 +122,13 @@
   // The cloud's 200 on return, or a failed machine: all on it is gone.
   void machine_terminated(const std::string& id, Ms now);
 
-  // Whether a report of this machine may wait for work, and how long.
+  // Whether a heartbeat of this machine may wait for work, and how long.
   Ms defer_ms(const std::string& machine) const;
   bool has_waiting();
   // The machines of a list in the order in which they should be asked to take work: those with
   // services first, then the fullest, so that others run empty and can be given away.
   std::vector<std::string> fullest_first(std::vector<std::string> machines) const;
-  // Tasks to kill by /commands: (machine address, session, term, orders).
+  // Tasks to kill by /commands: (machine address, incarnation, fencing token, orders).
   struct KillBatch {
     std::string machine, addr;
     std::uint64_t incarnation, fencing_token;
@@ -144,7 +145,7 @@
     std::size_t jobs_queued = 0, jobs_running = 0, queued = 0, bound = 0, running = 0, done = 0;
   };
   TaskCounts task_counts() const;
-  // Jobs and machines looked at for reports since the start.
+  // Jobs and machines looked at for heartbeats since the start.
   std::uint64_t steps() const { return steps_; }
   std::size_t images_known() const { return image_numbers_.size(); }
   std::uint64_t take_preemptions() { return std::exchange(preemptions_, 0); }
@@ -160,8 +161,8 @@
     double cpus = 0, gpus = 0, memory_gb = 0;  // kept by an orphan until it is gone
     int team = -1;
     bool service = false;
-    bool seen = false;  // a report has shown it
-    Ms ends = 0;        // by its owner's estimate
+    bool seen = false;  // a heartbeat has shown it
+    Ms ends = 0;        // by its submitter's estimate
     // Set once it has been told to stop: the time that it was given to save.
     std::optional<double> stop_grace_s;
     Ms kept_until = 0;  // the first task of a job that starved is not stopped before
@@ -172,12 +173,12 @@
     std::uint64_t revision = 0;
     bool spot = false;
     const MachineType* type = nullptr;
-    bool reconciled = false;  // has reported under our term (or is fresh)
+    bool reconciled = false;  // has sent a heartbeat under our fencing token (or is fresh)
     bool heartbeat_received = false;
     bool transferring = false;
     Ms cordoned_until = 0, drain_until = 0;
     bool consolidating = false;  // takes work only when no other machine can, so that it runs empty
-    bool lease_expired = false;  // its lease is over; a new session must appear
+    bool lease_expired = false;  // its lease is over; a new incarnation must appear
     std::uint64_t incarnation = 0, sequence = 0;
     Ms last_reply = 0;  // the last 200 anyone could have given
     Ms last_heartbeat = 0;
@@ -192,7 +193,7 @@
     int errors = 0;
     Ms quarantine_until = 0, quarantine_ms = 0;
     // Signs that answers do not reach it: those in a row that left no trace, and those that told it
-    // a term which its reports do not show.
+    // a fencing token which its heartbeats do not show.
     int lost_replies = 0, token_announcements = 0;
     Ms first_announced_at = 0;  // the first of the latter
   };
@@ -212,10 +213,10 @@
     Ms submitted = 0;  // its deadline counts from here
     Priority priority = Priority::standard;  // its own, or that of a job which waits for it
     std::optional<Ms> finish_by;             // so that the jobs which wait for it are in time
-    std::vector<Ms> target_times;            // when it should be complete, the tightest aim first
-    int missed_objectives = 0;               // aims that it can no longer meet
-    bool has_started = false;                // a task of it has been on a machine
-    bool starved = false;                    // it has waited too long for that: it goes first
+    std::vector<Ms> target_times;  // when it should be complete, the tightest objective first
+    int missed_objectives = 0;     // objectives that it can no longer meet
+    bool has_started = false;      // a task of it has been on a machine
+    bool starved = false;          // it has waited too long for that: it goes first
     Ms latest_start = 0;
     Ms waiting_since = 0;  // when the first of its queued tasks began to wait
     // Of a service that waits: whether a machine with its image could take it, and how many
@@ -227,18 +228,19 @@
   };
   // How full a machine is, in steps: the higher, the sooner it is filled further.
   enum FillLevel { kIdle, kEmptier, kFuller, kServices, kFillLevels };
-  // What the machines come to together. Guard: the work for one report must not grow with the
-  // machines of the part, so `survey` adds them up in one pass a tick, and `bind` and `release`
-  // keep the sums up to date between two passes.
-  // Machines that may hold what we do not know of, and the CPUs of all of them.
+  // What the machines come to together. The work for one heartbeat must not grow with the
+  // machines of the partition, so `survey` adds them up in one pass a tick, and `bind` and
+  // `release` keep the sums up to date between two passes. Machines that may hold what we do not
+  // know of, and the CPUs of all of them.
   struct UnreconciledMachines {
-    std::size_t unreconciled = 0, unreconciled_on_demand = 0;  // not heard of under our term
+    std::size_t unreconciled = 0,
+                unreconciled_on_demand = 0;  // not heard of under our fencing token
     double cpus = 0;
   };
   struct Totals {
     std::array<std::array<double, kFillLevels>, 2>
         free{};                      // CPUs that may be given, by kind and fill
-    double free_in_use = 0;          // free on machines that are not spared
+    double free_in_use = 0;          // free on machines that are not consolidated
     double cpus = 0;                 // of all machines that take work
     std::vector<double> with_image;  // free on those that have it, by image
   };
@@ -254,10 +256,10 @@
   void quarantine(Machine& m, Ms now);
   void record_lost_reply(Machine& m, Ms now);
   static bool has_inbound_loss(const Machine& m);
-  // What a report shows of the tasks on its machine.
+  // What a heartbeat shows of the tasks on its machine.
   struct HeartbeatTasks {
     std::set<TaskKey> on_machine;
-    bool start_shown = false;  // one that no report had shown before
+    bool start_shown = false;  // one that no heartbeat had shown before
   };
   bool is_outdated(const Machine& m, const Heartbeat& r) const;
   void begin_incarnation(Machine& m, Ms now);
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -1,4 +1,4 @@
-// Placement: what a machine is given when its report shows room. It looks at that machine alone;
+// Placement: what a machine is given when its heartbeat shows room. It looks at that machine alone;
 // of the others it knows sums.
 #include <cmath>
 
@@ -87,8 +87,9 @@
         totals_.with_image[static_cast<std::size_t>(image)] += usable_free_cpus(m);
     largest = std::max(largest, m.type->cpus);
   }
-  // With more free room than the queue asks for, for a while, some machines are spared: they run
-  // empty, and the leader may move or return them. With less, some are taken into use again.
+  // With more free room than the queue asks for, for a while, some machines are consolidated: they
+  // run empty, and the cluster leader may move or return them. With less, some are taken into use
+  // again.
   const double wanted = waiting_cpus();
   const double surplus =
       totals_.free_in_use - largest / 2 - constants::kConsolidateSpareRoom * totals_.cpus - wanted;
@@ -112,8 +113,8 @@
   }
 }
 
-// Those of the spared ones that stay busy longest: taken as they report, all would hold a little
-// for ever.
+// Those of the consolidated ones that stay busy longest: taken as their heartbeats come, all would
+// hold a little for ever.
 void PartitionScheduler::stop_consolidating(double wanted, Ms now) {
   const auto consolidating = by_time_to_empty(now, true);
   for (auto it = consolidating.rbegin(); it != consolidating.rend() && wanted > 0; ++it) {
@@ -123,7 +124,7 @@
   }
 }
 
-// When all that runs here will have ended, by the owners' estimates.
+// When all that runs here will have ended, by the submitters' estimates.
 Ms PartitionScheduler::empty_at(const Machine& m) {
   Ms at = 0;
   for (const auto& [key, b] : m.tasks) at = std::max(at, b.ends);
@@ -178,7 +179,7 @@
 bool PartitionScheduler::should_wait_for_better(const Machine& m, Job& j, Ms now) {
   const Ms waited = now - j.waiting_since;
   if (j.spec.kind == JobKind::array) {
-    // Until all machines have reported, but no longer than the fetch would take.
+    // Until all machines have sent a heartbeat, but no longer than the fetch would take.
     const auto image = static_cast<std::size_t>(j.image);
     return waited < std::min(fetch_ms(m, j), limits_.heartbeat_round_ms()) &&
            image < totals_.with_image.size() && totals_.with_image[image] >= j.spec.cpus;
@@ -187,14 +188,14 @@
   if (waited >= (image ? constants::kServicePackMs : constants::kImageWaitMs)) return false;
   look_for_image(j, now);
   if (!image) return j.image_elsewhere;
-  // Joining pays only where the report of such a machine is likely within the wait.
+  // Joining pays only where the heartbeat of such a machine is likely within the wait.
   return j.service_machines >= constants::kServiceMachines &&
          m.service_cpus < j.most_services * constants::kServicesAlike;
 }
 
 // Free room for the job on machines that are to be filled before this one. What fits there waits
-// a moment for their reports, so that other machines run empty: only an idle machine can be given
-// to a part in need, or returned.
+// a moment for their heartbeats, so that other machines run empty: only an idle machine can be
+// given to a partition in need, or returned.
 double PartitionScheduler::free_on_fuller_machines(const Machine& m, const Job& j) const {
   double room = 0;
   for (int f = 0; f < kFillLevels; ++f) {
@@ -227,7 +228,7 @@
   }
 }
 
-// A replica that another machine of the part has room for, and the image, is stopped here and
+// A replica that another machine of the partition has room for, and the image, is stopped here and
 // starts there; one at a time, so that a service of several is never down.
 void PartitionScheduler::drain(Machine& m, const UnreconciledMachines& unreconciled_machines,
                                Ms now, std::vector<Command>& out) {
@@ -339,7 +340,7 @@
     const BoundTask& b = *c.second;
     if (by_fair_share &&
         team_cpus_[b.team] - given - b.cpus < teams_[b.team].fair_share_cpus - kEps)
-      continue;  // a team keeps its own guarantee
+      continue;  // a team keeps its own fair share
     if (by_fair_share) given += b.cpus;
     cpus += b.cpus;
     gpus += b.gpus;
@@ -365,14 +366,14 @@
   return m.service_size <= most ? std::min(most, constants::kReserveReplicas * m.service_size) : 0;
 }
 
-// Work within a guarantee goes first, then borrowing; each in the order of the queue. The tasks of
+// Work within a fair share goes first, then borrowing; each in the order of the queue. The tasks of
 // a job are alike, so they are decided together.
 void PartitionScheduler::launch_tasks(Machine& m, const std::vector<Job*>& order,
                                       bool within_fair_share,
                                       const UnreconciledMachines& unreconciled_machines, Ms now,
                                       std::vector<Command>& out) {
   const Ms pack_ms = std::min(constants::kPackWaitMs, limits_.heartbeat_round_ms());
-  // By then every other machine has reported.
+  // By then every other machine has sent a heartbeat.
   const Ms consolidation_wait_ms = pack_ms + limits_.heartbeat_round_ms();
   for (Job* j : order) {
     if (m.cpus + least_cpus_ > m.type->cpus + kEps) return;
@@ -381,8 +382,9 @@
       continue;
     const Ms waited = now - j->waiting_since;
     const bool packs = j->spec.kind == JobKind::array && waited < pack_ms;
-    // A spared machine is left alone, but not for longer than all others take to report.
-    // Services have no such time: they wait for those that run services already, and no longer.
+    // A consolidated machine is left alone, but not for longer than all others take to send a
+    // heartbeat. Services have no such time: they wait for those that run services already, and no
+    // longer.
     if (m.consolidating && waited < (j->spec.kind == JobKind::array ? consolidation_wait_ms
                                                                     : constants::kServicePackMs))
       continue;
@@ -406,7 +408,7 @@
 }
 
 // Room that frees here is held for a job that starves and fits on no machine as it stands, until it
-// has begun; one machine at a time. Guard: a task that needs a whole machine never met one, as
+// has begun; one machine at a time. A task that needs a whole machine never met one, as
 // whatever freed was taken by smaller tasks at once.
 void PartitionScheduler::update_reservation(Machine& m,
                                             const UnreconciledMachines& unreconciled_machines,
@@ -417,7 +419,7 @@
       machine == machines_.end() || !schedulable(*machine->second, now))
     reservation_ = {};
   if (!reservation_.machine.empty()) return;
-  // By then every machine has reported since it starves.
+  // By then every machine has sent a heartbeat since it starves.
   const Ms after = constants::kStarvedMs + limits_.heartbeat_round_ms();
   for (Job* j : waiting_jobs()) {
     if (!j->starved || now - j->ready < after || !may_start(m, *j, unreconciled_machines, now) ||
@@ -442,11 +444,11 @@
 }
 
 // What still waits, after a moment in which another machine may have had room: it may stop work of
-// lower priority here, and, within its guarantee, what other teams have borrowed.
+// lower priority here, and, within its fair share, what other teams have borrowed.
 void PartitionScheduler::preempt_for_waiting(Machine& m,
                                              const UnreconciledMachines& unreconciled_machines,
                                              Ms now, std::vector<Command>& out) {
-  // Guard: a guarantee is reclaimed no sooner than its aim asks for. What borrows ends by itself in
+  // A fair share is reclaimed no sooner than its objective asks for. What borrows ends by itself in
   // most cases; stopped at once, most arrays that were late had lost their last tasks again and
   // again.
   const Ms reclaim_after = std::max(
@@ -460,7 +462,7 @@
     const Ms waited = now - j->waiting_since;
     const bool by_priority =
         j->priority > Priority::standard && waited >= constants::kPreemptAfterMs;
-    // Guard: what fits into room that is free on machines which have not reported yet needs no
+    // What fits into room that is free on machines which have not sent a heartbeat yet needs no
     // victims. On jelajah-grown some jobs had each of their tasks stopped for nothing.
     const bool by_fair_share =
         waited >= reclaim_after && within_fair_share() && j->queued * j->spec.cpus > free_for(*j);
@@ -503,7 +505,7 @@
   const Machine& m = *it->second;
   if (!m.reconciled || m.transferring || !m.type || m.taken_at) return 0;
   // A deferred worker cannot tell of a finished task, so only one whose tasks do not finish by
-  // themselves waits long. The others wait no longer than a worker would between two reports.
+  // themselves waits long. The others wait no longer than a worker would between two heartbeats.
   // One that runs services has their images: the next service should find it waiting.
   const bool quiet = m.tasks.empty() || m.service_cpus > 0;
   return quiet ? std::min(constants::kDeferIdleMs, limits_.heartbeat_interval_ms * 4 / 5)
--- a/src/state_store/compare_and_swap.cc
+++ b/src/state_store/compare_and_swap.cc
@@ -116,7 +116,7 @@
       const bool by_absence =
           std::any_of(c->preconditions.begin(), c->preconditions.end(),
                       [](const codec::Precondition& g) { return g.revision == 0; });
-      // Guard: our write may have stood there for a while; the view knows then, before the caller.
+      // Our write may have stood there for a while; the view knows then, before the caller.
       if (by_absence)
         c->done(CasOutcome::superseded, 0);
       else
--- a/src/state_store/rate_limiter.cc
+++ b/src/state_store/rate_limiter.cc
@@ -49,7 +49,7 @@
 }
 
 // Users may run into debt up to what the others would have to leave unused: their changes are few,
-// and a refusal by the state service itself costs one more try.
+// and a refusal by the state store itself costs one more try.
 bool RateLimiter::allows(RequestPriority request_priority, int changes) const {
   if (request_priority == RequestPriority::urgent) return true;
   const double debt = request_priority == RequestPriority::user ? 1 : 0;
--- a/src/state_store/rate_limiter.h
+++ b/src/state_store/rate_limiter.h
@@ -1,4 +1,4 @@
-// How much this controller may ask of the state service, whose limits all controllers share: an
+// How much this controller may ask of the state store, whose limits all controllers share: an
 // even part for each, and half of what the others say that they leave of theirs.
 #pragma once
 #include <map>
@@ -10,7 +10,7 @@
 
 namespace eiderreel {
 
-// What goes first when the budget of the state service is short. Users and what they are told come
+// What goes first when the budget of the state store is short. Users and what they are told come
 // before machines, and machines before progress, which is written as often as the rest allows.
 enum class RequestPriority { urgent, user, fleet, progress };
 
--- a/src/state_store/replicated_view.cc
+++ b/src/state_store/replicated_view.cc
@@ -103,7 +103,7 @@
 }
 
 void ReplicatedView::merge_claim(int partition, const std::string& leader, std::uint64_t revision) {
-  // Guard: an older claim may have ended within our view, and the changes will not tell so again.
+  // An older claim may have ended within our view, and the changes will not tell so again.
   if (revision <= view_.store_revision) return;
   codec::StateRow claim;
   claim.key = codec::partition_key(partition);
@@ -189,7 +189,7 @@
   if (it == view_.jobs.end() || it->second.revision > row.revision) return;
   view_.jobs.erase(it);
   view_.dependencies.close(id);
-  // Guard: after changes were missed its record may be gone without a word of its end.
+  // After changes were missed its record may be gone without a word of its end.
   if (view_.ready && !view_.finals.count(id) && view_.dependencies.is_prerequisite(id))
     unresolved_.insert(id);
   if (announce) events_.job_closed(id);
--- a/src/state_store/replicated_view.h
+++ b/src/state_store/replicated_view.h
@@ -1,4 +1,4 @@
-// What this node knows of the keys under `e/`: a replica that follows the state service, and is
+// What this node knows of the keys under `e/`: a replica that follows the state store, and is
 // ahead of it by this node's own commits.
 #pragma once
 #include <cstdint>
@@ -88,9 +88,9 @@
   std::optional<std::vector<FinishedJob>> finished_since(std::uint64_t store_revision) const;
   // What a peer knows to be over is over in our view too.
   void merge_finished(const std::vector<FinishedJob>& finished);
-  // A peer has claimed a part after all changes that our view has.
+  // A peer has claimed a partition after all changes that our view has.
   void merge_claim(int partition, const std::string& leader, std::uint64_t revision);
-  // An earlier process of this node has ended its grant.
+  // An earlier process of this node has ended its lease.
   void forget_node(const std::string& node) { view_.nodes.erase(node); }
 
  private:
@@ -120,7 +120,7 @@
   std::uint64_t finished_complete_from_ = 0;
   std::set<std::string> unresolved_;
   std::map<PrerequisiteListKey, std::map<std::size_t, PrerequisiteChunkEntry>> prerequisite_chunks_;
-  std::map<std::string, codec::StateRow> incomplete_;  // jobs that lack some of their parts
+  std::map<std::string, codec::StateRow> incomplete_;  // jobs that lack some of their partitions
 };
 
 }  // namespace eiderreel
--- a/src/state_store/state_store_client.cc
+++ b/src/state_store/state_store_client.cc
@@ -110,7 +110,7 @@
   if (lease_alive() && record_due && !writing_node_) write_node_record();
 }
 
-// Says that this controller is there, and which version it acts under from now on. Guard: where
+// Says that this controller is there, and which version it acts under from now on. Where
 // versions are enabled the record names the durable version as it is at that moment, and replaces
 // just the record that was known; so no late copy of an older one can bring back an older version.
 void StateStoreClient::write_node_record() {
@@ -154,12 +154,12 @@
     spdlog::error("stands aside node={} reason=\"{}\"", settings_.node, why);
 }
 
-// -------------------------------------------------------------------------------- grant
+// -------------------------------------------------------------------------------- lease
 
 void StateStoreClient::acquire_lease() {
   if (acquiring_lease_) return;
   acquiring_lease_ = true;
-  // An earlier process of this node has ended, so its grant holds back our parts for nothing.
+  // An earlier process of this node has ended, so its lease holds back our partitions for nothing.
   auto old = view().nodes.find(settings_.node);
   if (old != view().nodes.end() && old->second.record.boot != runtime_.boot_id() &&
       old->second.record.lease_id != 0) {
--- a/src/state_store/state_store_client.h
+++ b/src/state_store/state_store_client.h
@@ -1,4 +1,4 @@
-// The state store client: all dealings with the state service. It owns this node's grant, the
+// The state store client: all dealings with the state store. It owns this node's lease, the
 // replica of every key under `e/`, and the requests that wait for the rate limiter.
 #pragma once
 #include <deque>
@@ -39,7 +39,7 @@
   RequestPriority request_priority = RequestPriority::user;
   int tries = constants::kCommitTries;
   std::function<void(CasOutcome, std::uint64_t store_revision)> done;
-  // A try of it is without answer. Guard: a later try that is refused says nothing of that one, so
+  // A try of it is without answer. A later try that is refused says nothing of that one, so
   // whoever tries again after `unknown` sends this same commit with its doubt kept.
   bool doubt = false;
   VersionBinding binding = VersionBinding::current;
@@ -81,7 +81,7 @@
   // Reads the final records of these jobs into the view, as far as there are any; false: some could
   // not be read.
   void read_ends(std::vector<std::string> ids, std::function<void(bool)> done);
-  // Which of these jobs were ever accepted; nullopt when the state service does not tell.
+  // Which of these jobs were ever accepted; nullopt when the state store does not tell.
   void find_accepted(std::vector<std::string> ids,
                      std::function<void(std::optional<std::set<std::string>>)> done);
   // Calls back once the view has all changes that were made before this call; false when the state
--- a/src/upgrade/coordinator.cc
+++ b/src/upgrade/coordinator.cc
@@ -110,7 +110,7 @@
 }
 
 // Every stored value of progress, of all partitions. What a controller would have to convert it may
-// not know of yet, so the state service alone can tell that nothing is left. Guard: a job that the
+// not know of yet, so the state store alone can tell that nothing is left. A job that the
 // view does not have may be new to it; only one with a final record is over, and its values are
 // left to be swept.
 void Coordinator::take_census(std::function<void(std::optional<ProgressCensus>)> done) {
@@ -186,7 +186,7 @@
   check_census(step);
 }
 
-// The records that are compared were read before the census. Guard: as long as they stand, every
+// The records that are compared were read before the census. As long as they stand, every
 // controller acts under a version that writes nothing in the form that is counted, so none can have
 // come since.
 void Coordinator::check_census(const PendingStep& step) {
@@ -219,7 +219,7 @@
   state_store_.compare_and_swap(std::move(c));
 }
 
-// Guard: a step in doubt is not tried under another name. Its own preconditions let it land at most
+// A step in doubt is not tried under another name. Its own preconditions let it land at most
 // once, and whether it has is read from the durable version.
 void Coordinator::committed(const PendingStep& step, CasOutcome outcome) {
   switch (outcome) {
@@ -314,7 +314,7 @@
 
 // ----------------------------------------------------------------------------- automatic
 
-// The leader alone, and only steps that can be taken back.
+// The cluster leader alone, and only steps that can be taken back.
 void Coordinator::tick() {
   const Ms now = runtime_.now();
   if (!settings_.upgrade.automatic || now - looked_at_ < k::kAutomaticEveryMs) return;
--- a/src/upgrade/coordinator.h
+++ b/src/upgrade/coordinator.h
@@ -29,7 +29,7 @@
   // What a step would need and do; reads the stored progress where the step depends on it.
   void plan(const StepRequest& request, std::function<void(StepPlan)> done);
   void step(const StepOrder& order, std::function<void(StepAnswer)> done);
-  // In the order of time; nothing: the state service does not tell.
+  // In the order of time; nothing: the state store does not tell.
   void history(std::function<void(std::optional<std::vector<StepRecord>>)> done);
   // Takes a step by itself where the operators allow it.
   void tick();
--- a/src/upgrade/messages.h
+++ b/src/upgrade/messages.h
@@ -24,7 +24,7 @@
   taken,    // it is durable
   refused,  // an obstacle stands in its way; nothing was done
   changed,  // the cluster or a controller changed meanwhile; nothing was done
-  failed,   // the state service refused; nothing was done
+  failed,   // the state store refused; nothing was done
   unknown,  // no answer: it may be done, or may still be
 };
 const char* to_string(StepOutcome outcome);
@@ -59,7 +59,7 @@
   std::string controller;  // who tells
   bool enabled = true;
   std::string standby_reason;  // why it does not act; empty: it does
-  bool current = true;         // it reaches the state service, so what it tells is not old
+  bool current = true;         // it reaches the state store, so what it tells is not old
   ClusterState cluster;
   std::string changed_by, last_request;
   Ms changed_at = 0;                         // time of day
--- a/src/upgrade/upgrade_json.h
+++ b/src/upgrade/upgrade_json.h
@@ -19,7 +19,7 @@
 std::string encode(const upgrade::StepAnswer& answer);
 std::string encode(const upgrade::StatusReport& report);
 
-// The history in the state service: one key for each record, in the order of time.
+// The history in the state store: one key for each record, in the order of time.
 std::string history_prefix();
 std::string history_key(Ms at, const std::string& nonce);
 std::string encode(const upgrade::StepRecord& record, const std::string& nonce);
--- a/tests/answers_test.cc
+++ b/tests/answers_test.cc
@@ -71,7 +71,7 @@
   EXPECT_TRUE(w.checker().broken().empty());
 }
 
-TEST_F(Answers, MetricsAndStatusTellOfJobsPartsAndRequests) {
+TEST_F(Answers, MetricsAndStatusTellOfJobsPartitionsAndRequests) {
   w.submit(w.job("run-1", "red", 2));
   w.run_until(8);
   ask("GET", "/metrics");
@@ -161,7 +161,7 @@
   EXPECT_GT(r.settings.teams.at(0).quota_gpus, 1e9);
 }
 
-TEST(SettingsFile, TheAimOfTheGuaranteesIsRead) {
+TEST(SettingsFile, TheObjectiveOfTheFairSharesIsRead) {
   EXPECT_EQ(load_settings(file_with(kGood)).settings.fair_share_start_s, 5);
   const std::string aim = "[[params.objectives]]\nkind = \"guarantee\"\nwithin_s = 15.0\n";
   auto r = load_settings(file_with(with("[params.workers]", aim + "[params.workers]")));
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A deployment whose machines report so seldom that two leases outlast a cancellation.
+// A deployment whose machines heartbeat so seldom that two leases outlast a cancellation.
 Options slow_heartbeats(std::uint64_t seed) {
   Options o;
   o.seed = seed;
@@ -23,10 +23,10 @@
   static constexpr double kHealed = kCancelled + 18.5;  // within the leases of most machines
 };
 
-// Machines are cut off when a job of theirs is cancelled, and its owner ends. They are back within
-// their leases, and the next owner tells them its term, which renews the lease. Before they report
-// again they are cut off once more, for longer than that lease lasts.
-TEST_P(CancelledWhileMachinesAreCutOff, TheAnswerThatTellsANewTermKills) {
+// Machines are cut off when a job of theirs is cancelled, and its leader ends. They are back within
+// their leases, and the next leader tells them its fencing token, which renews the lease. before
+// they send a heartbeat again they are cut off once more, for longer than that lease lasts.
+TEST_P(CancelledWhileMachinesAreCutOff, TheAnswerThatTellsANewFencingTokenKills) {
   World w(slow_heartbeats(GetParam()));
   std::map<std::string, std::uint64_t> tokens;
   std::size_t cut_off = 0;
@@ -62,7 +62,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, CancelledWhileMachinesAreCutOff, testing::Values(1, 2, 3));
 
-// An owner stands still until its lease is over. What it finds first when it goes on, before its
+// An leader stands still until its lease is over. What it finds first when it goes on, before its
 // own pace, is a job that was accepted meanwhile: no reason to answer the workers that still wait.
 TEST(AnOwnerStandsStill, AndAnswersNoWorkerAfterItsLease) {
   std::size_t met = 0;
@@ -81,7 +81,7 @@
   EXPECT_GE(met, 5u);
 }
 
-// A controller that does not reach the owner asks the state service, which is slow. What it hears
+// A controller that does not reach the leader asks the state store, which is slow. What it hears
 // may be older than the end of the job, which another controller has told the user meanwhile.
 TEST(TheStateServiceIsSlow, NoOlderAnswerIsGivenAfterACancellationWasTold) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -123,9 +123,9 @@
   EXPECT_GE(met, 10u);
 }
 
-// Every direct command is held up: the kills that come with answers to reports are enough, also for
-// tasks that were told to save, for longer than a cancellation may take.
-TEST(CommandsAreHeldUp, KillsOfACancelledJobComeWithTheAnswersToReports) {
+// Every direct command is held up: the kills that come with answers to heartbeats are enough, also
+// for tasks that were told to save, for longer than a cancellation may take.
+TEST(CommandsAreHeldUp, KillsOfACancelledJobComeWithTheAnswersToHeartbeats) {
   Options o;
   o.machines = 2;
   o.capacity = 0;
--- a/tests/chain_scale_test.cc
+++ b/tests/chain_scale_test.cc
@@ -1,4 +1,4 @@
-// Large graphs of jobs that wait for others, and the limits of the state service.
+// Large graphs of jobs that wait for others, and the limits of the state store.
 #include "standin/chains.h"
 #include "standin/text.h"
 
@@ -130,7 +130,7 @@
 
 class LowerLimits : public Seeds {};
 
-// A job whose progress fills several of the smaller values is half done when a takeover meets the
+// A job whose progress fills several of the smaller values is half done when a failover meets the
 // lower limits.
 TEST_P(LowerLimits, ComeDuringATakeoverWithALargeJobInProgress) {
   Options o = seeded(GetParam());
--- a/tests/chains_test.cc
+++ b/tests/chains_test.cc
@@ -190,9 +190,9 @@
   EXPECT_GT(cancelled, 0u);
 }
 
-// The user is told that the first job is cancelled, and then nobody reaches the state service for
-// longer than a cancellation may take. Owners that act under promises learn of the end with them.
-TEST_P(ChainCancellation, IsKnownToOwnersOfDependentsInAnOutageRightAfterIt) {
+// The user is told that the first job is cancelled, and then nobody reaches the state store for
+// longer than a cancellation may take. Owners that act under votes learn of the end with them.
+TEST_P(ChainCancellation, IsKnownToLeadersOfDependentsInAnOutageRightAfterIt) {
   Options o = seeded(GetParam());
   o.cancel_s = 15;
   World w(o);
@@ -220,9 +220,9 @@
   *check = [] {};
 }
 
-// As before, and the owner of the dependents is cut off alone first: nobody speaks for it until the
-// state service is back.
-TEST_P(ChainCancellation, MeetsAnOwnerOfDependentsThatIsCutOffAndThenAnOutage) {
+// As before, and the leader of the dependents is cut off alone first: nobody speaks for it until
+// the state store is back.
+TEST_P(ChainCancellation, MeetsALeaderOfDependentsThatIsCutOffAndThenAnOutage) {
   Options o = seeded(GetParam());
   o.cancel_s = 15;
   World w(o);
@@ -249,7 +249,7 @@
 }
 
 // The commit of a cancellation is held up while the job waits, and the last job that it needs ends
-// meanwhile: it is ready, and called off all the same.
+// meanwhile: it is ready, and cancelled all the same.
 TEST_P(ChainCancellation, OfAWaitingJobInDoubtStartsNothingWhenTheJobIsReady) {
   World w(seeded(GetParam()));
   w.at(5, [&] { submit_pipeline(w, 9); });
@@ -265,13 +265,13 @@
   expect_rules_kept(w);
 }
 
-// The owner of a dependent can't be reached by the node that is asked, and lags behind it: only a
-// final record, or its owner, says that the dependent is cancelled.
-TEST_P(ChainCancellation, IsNotToldByANodeThatDoesNotReachTheOwnerOfADependent) {
+// The leader of a dependent can't be reached by the node that is asked, and lags behind it: only a
+// final record, or its leader, says that the dependent is cancelled.
+TEST_P(ChainCancellation, IsNotToldByANodeThatDoesNotReachTheLeaderOfADependent) {
   World w(seeded(GetParam()));
   std::map<std::string, int> told;
   w.at(5, [&] { submit_pipeline(w, 300); });
-  w.at(18, [&] { w.cut({"n0"}, {"n2"}, CutMode::reset); });  // the owner of run-3
+  w.at(18, [&] { w.cut({"n0"}, {"n2"}, CutMode::reset); });  // the leader of run-3
   w.at(19.8, [&] { w.state_refuses(2, true); });             // for less than its lease
   w.at(20, [&] { w.cancel_at(0, "run-1"); });
   for (double t = 19; t < 40; t += 0.02)
@@ -307,7 +307,8 @@
     World w(seeded(seed * 10 + static_cast<std::uint64_t>(offset)));
     double ended = -1;
     const double at = 9.6 + 0.25 * offset;
-    if (trouble == Trouble::home_is_back)  // handed back about when run-1 ends
+    if (trouble ==
+        Trouble::home_is_back)  // given back to its preferred leader about when run-1 ends
       w.at(at - 7.2, [&w] { w.crash(2, 2); });
     w.at(5, [&] { submit_pipeline(w, 5); });
     w.at(at, [&w, trouble = trouble] {
@@ -393,7 +394,7 @@
   expect_rules_kept(w);
 }
 
-// A controller that the state service refuses alone can't say whether a job was ever accepted.
+// A controller that the state store refuses alone can't say whether a job was ever accepted.
 TEST_P(ChainSubmission, ThroughANodeThatTheStateServiceRefuses) {
   World w(seeded(GetParam()));
   int status = 0;
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -131,7 +131,7 @@
 }
 
 // Seeded malformed input: flipped and cut bytes are refused or read, never a crash.
-TEST(Malformed, MeshFramesAndJsonDoNoHarm) {
+TEST(Malformed, PeerMessagesAndJsonDoNoHarm) {
   std::mt19937_64 random(7);
   PartitionLoad load;
   load.idle_machines = 3;
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -133,7 +133,7 @@
 
 struct OldMessage {
   const char* name;
-  std::size_t kind;  // of mesh::Body
+  std::size_t kind;  // of peer links::Body
   std::string bytes;
 };
 
--- a/tests/concurrent_faults_test.cc
+++ b/tests/concurrent_faults_test.cc
@@ -10,8 +10,8 @@
 namespace {
 
 // ------------------------------------------------------------------------------- the gap
-// The state service refuses the leading controller alone; what it committed last has landed
-// without an answer, and another controller tells users so. Then the state service is down for all,
+// The state store refuses the leading controller alone; what it committed last has landed
+// without an answer, and another controller tells users so. Then the state store is down for all,
 // for longer than a cancellation has, while the workers go on reporting to the old leader.
 
 struct Gap {
@@ -23,7 +23,7 @@
 class GapTest : public testing::TestWithParam<Gap> {
  public:
   static constexpr double kAt = 30, kOutageS = 52.8;
-  static constexpr int kLeader = 1;  // of the part of team blue
+  static constexpr int kLeader = 1;  // of the partition of team blue
   Options options() const {
     Options o;
     o.seed = GetParam().seed;
@@ -59,10 +59,10 @@
   });
   std::size_t before = 0, confirmed = 0;
   w.at(outage_at() + 6,
-       [&] { before = w.heartbeats_accepted(kLeader); });  // its grant would be over
+       [&] { before = w.heartbeats_accepted(kLeader); });  // its lease would be over
   w.at(outage_at() + 50, [&] { confirmed = w.heartbeats_accepted(kLeader); });
   w.run_until(outage_at() + kOutageS - 1);
-  // They meet: another controller has confirmed, and the workers stayed with the old owner.
+  // They meet: another controller has confirmed, and the workers stayed with the old leader.
   ASSERT_GE(w.confirmed("run-1").node, 0);
   EXPECT_NE(w.confirmed("run-1").node, kLeader);
   EXPECT_LT(w.confirmed("run-1").at, outage_at());
@@ -77,7 +77,7 @@
   expect_rules_kept(w);
 }
 
-// The same for a job whose last task ends at that moment: its old owner must not call it running.
+// The same for a job whose last task ends at that moment: its old leader must not call it running.
 TEST_P(GapTest, ADoneJobStaysDone) {
   World w(options());
   w.at(5, [&] {
@@ -101,11 +101,11 @@
   expect_rules_kept(w);
 }
 
-// The refusal lasts longer than a grant before the outage begins: the part has a new owner, which
-// confirms and goes on through the outage, though the old one has not seen its claim.
+// The refusal lasts longer than a lease before the outage begins: the partition has a new leader,
+// which confirms and goes on through the outage, though the old one has not seen its claim.
 class LongRefusal : public testing::TestWithParam<std::tuple<std::uint64_t, double>> {};
 
-TEST_P(LongRefusal, TheNewOwnerGoesOnThroughTheOutage) {
+TEST_P(LongRefusal, TheNewLeaderGoesOnThroughTheOutage) {
   const auto [seed, after] = GetParam();
   Options o;
   o.seed = seed;
@@ -281,7 +281,7 @@
                                           testing::Values(4.2, 5.0, 7.0)));
 
 // ------------------------------------------------------------------- more work than room
-// Guests without a guarantee among teams whose queues never end, over slow links: idle-time work
+// Guests without a fair share among teams whose queues never end, over slow links: idle-time work
 // begins all the same, and so does a task that needs a whole machine.
 TEST(MoreWorkThanRoom, IdleTimeWorkAndTheLargestTasksBeginInTime) {
   Options o;
@@ -365,9 +365,9 @@
   EXPECT_EQ(w.phase("run-1"), "done");
 }
 
-// Nothing more can be rented, and every machine of the other parts runs a service, so none is idle:
-// work that waits gets its room all the same.
-TEST(MoreWorkThanRoom, RoomBesideServicesOfOtherPartsIsUsed) {
+// Nothing more can be provisioned, and every machine of the other partitions runs a service, so
+// none is idle: work that waits gets its room all the same.
+TEST(MoreWorkThanRoom, RoomBesideServicesOfOtherPartitionsIsUsed) {
   Options o;
   o.capacity = 0;
   World w(o);
@@ -401,7 +401,7 @@
 struct Load {
   std::vector<std::string> end;  // arrays that must be done at the end
   std::vector<std::string> run;  // services that must run
-  std::vector<std::string> off;  // called off
+  std::vector<std::string> off;  // cancelled
 };
 
 struct FaultDay {
@@ -560,7 +560,7 @@
       {"AReportIsHeldUntilItsAddresseeLeads", 40,
        [](World& w, Load& load) {
          usual(w, load);
-         // The workers of n1's part cannot get through to n0, which will lead them.
+         // The workers of n1's partition cannot get through to n0, which will lead them.
          w.at(9.6, [&w] { w.cut(workers(0, 1), {"n0"}, CutMode::hold); });
          w.at(10, [&w] { w.crash(1, 25); });
          w.at(19, [&w] {
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -47,7 +47,7 @@
   for (int n = 0; n < 3; ++n)
     for (const auto& [partition, core] : w.node(n)->partition_leader().partitions())
       EXPECT_LT(core->steps(), 40u * kMachines)
-          << partition;  // a report is answered by one machine's
+          << partition;  // a heartbeat is answered by one machine's
   expect_rules_kept(w);
 }
 
--- a/tests/partition_scheduler_test.cc
+++ b/tests/partition_scheduler_test.cc
@@ -1,4 +1,4 @@
-// The core alone: one part, told of reports and time.
+// The core alone: one partition, told of heartbeats and time.
 #include "scheduler/partition_scheduler.h"
 
 #include <gtest/gtest.h>
@@ -46,7 +46,7 @@
     r.tasks = std::move(tasks);
     return r;
   }
-  // What the machine reports once it has obeyed these starts.
+  // What the machine heartbeats once it has obeyed these starts.
   static std::vector<TaskStatus> running_of(const std::vector<Command>& starts) {
     std::vector<TaskStatus> out;
     for (const auto& o : starts) out.push_back(task(o.job, o.index, o.attempt));
@@ -58,7 +58,7 @@
   }
 };
 
-// Invariant 5: after a takeover, older jobs wait for proof of every machine of the part; jobs
+// Invariant 5: after a failover, older jobs wait for proof of every machine of the partition; jobs
 // first accepted since then need not.
 TEST_F(PartitionSchedulerTest, OlderJobsWaitForEveryMachineNewOnesDoNot) {
   partition.add_machine("m-1", 5, false, 0);
@@ -76,9 +76,11 @@
   EXPECT_EQ(starts[0].job, "run-1");
 }
 
-// The answer to a report from before our term renews a lease, so it carries the kills that are
-// owed: those of jobs that are over or called off. Nothing else of such a report is believed.
-TEST_F(PartitionSchedulerTest, AReportFromBeforeOurTermIsAnsweredWithTheKillsThatAreOwed) {
+// The answer to a heartbeat from before our fencing token renews a lease, so it carries the kills
+// that are owed: those of jobs that are over or cancelled. Nothing else of such a heartbeat is
+// believed.
+TEST_F(PartitionSchedulerTest,
+       AHeartbeatFromBeforeOurFencingTokenIsAnsweredWithTheKillsThatAreOwed) {
   partition.add_machine("m-1", 5, false, 0);
   partition.open_job(job("run-1"), 7, true, {});
   partition.open_job(job("run-2"), 8, true, {});
@@ -101,8 +103,8 @@
   EXPECT_TRUE(partition.place_tasks("m-1", 100).empty());
 }
 
-// A report sent before our term may be minutes late: it proves nothing.
-TEST_F(PartitionSchedulerTest, AReportFromBeforeOurTermProvesNothing) {
+// A heartbeat sent before our fencing token may be minutes late: it proves nothing.
+TEST_F(PartitionSchedulerTest, AHeartbeatFromBeforeOurFencingTokenProvesNothing) {
   partition.add_machine("m-1", 5, false, 0);
   partition.open_job(job("run-1"), 7, true, {});
   HeartbeatReply a = partition.on_heartbeat(heartbeat("m-1", {}, kToken - 1), 100);
@@ -133,13 +135,13 @@
   EXPECT_TRUE(partition.place_tasks("m-2", 10100).empty());
   EXPECT_EQ(partition.tick(10400), std::vector<std::string>{"m-1"});
   EXPECT_EQ(partition.place_tasks("m-2", 10400).size(), 1u);
-  // A late report of the old session is not believed.
+  // A late heartbeat of the old incarnation is not believed.
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {task("run-1", 0, 1)}), 10500).verdict,
             HeartbeatVerdict::stale);
 }
 
-// Invariant 4: a launch is open until that session's next report shows or lacks it.
-TEST_F(PartitionSchedulerTest, ALaunchThatTheNextReportLacksIsGivenAgain) {
+// Invariant 4: a launch is open until that incarnation's next heartbeat shows or lacks it.
+TEST_F(PartitionSchedulerTest, ALaunchThatTheNextHeartbeatLacksIsGivenAgain) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 1), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
@@ -152,7 +154,7 @@
   EXPECT_GT(second[0].attempt, first[0].attempt);
 }
 
-TEST_F(PartitionSchedulerTest, RepeatedAndReorderedReportsAreHarmless) {
+TEST_F(PartitionSchedulerTest, RepeatedAndReorderedHeartbeatsAreHarmless) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 1), 11, false, {});
   Heartbeat old = heartbeat("m-1");
@@ -211,7 +213,7 @@
   EXPECT_EQ(partition.place_tasks("m-1", 100).size(), 4u);  // 12 less the 8 of m-2
 }
 
-TEST_F(PartitionSchedulerTest, GuaranteeFirstThenOldest) {
+TEST_F(PartitionSchedulerTest, FairShareFirstThenOldest) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 8, "red"), 11, false, {});
   partition.open_job(job("run-2", 8, "blue"), 12, false, {});
@@ -268,7 +270,7 @@
 }
 
 // A machine told to run empty takes nothing new for a while; one with a service is left alone.
-TEST_F(PartitionSchedulerTest, ShedMachinesTakeNothingNew) {
+TEST_F(PartitionSchedulerTest, CordonedMachinesTakeNothingNew) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 1), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
@@ -302,8 +304,8 @@
   EXPECT_EQ(commands[0].index, 7u);  // the youngest go
 }
 
-// Within its guarantee a team reclaims what another has borrowed, and no more.
-TEST_F(PartitionSchedulerTest, AGuaranteeIsReclaimedFromBorrowers) {
+// Within its fair share a team reclaims what another has borrowed, and no more.
+TEST_F(PartitionSchedulerTest, AFairShareIsReclaimedFromBorrowers) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 8, "red"), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
@@ -342,8 +344,9 @@
   EXPECT_EQ(recorded, constants::kTasksMax);
 }
 
-// Invariant 2: the term is the newest revision of the part's or the machine's own key.
-TEST_F(PartitionSchedulerTest, TermIsTheNewestStamp) {
+// Invariant 2: the fencing token is the newest revision of the partition's or the machine's own
+// key.
+TEST_F(PartitionSchedulerTest, FencingTokenIsTheNewestRevision) {
   partition.add_machine("m-1", 5, false, 0);
   partition.add_machine("m-2", 15, true, 0);
   EXPECT_EQ(partition.fencing_token_of("m-1"), kToken);
@@ -355,8 +358,8 @@
   EXPECT_EQ(starts[0].attempt >> constants::kAttemptBits, 15u);
 }
 
-// A worker above our term has another owner.
-TEST_F(PartitionSchedulerTest, AHigherTermIsNotAnswered) {
+// A worker above our fencing token has another leader.
+TEST_F(PartitionSchedulerTest, AHigherFencingTokenIsNotAnswered) {
   partition.add_machine("m-1", 5, false, 0);
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {}, kToken + 1), 100).verdict,
             HeartbeatVerdict::stale);
@@ -412,7 +415,7 @@
   // Its last launch is lost: run-1 waits again, and m-2 may have it.
   EXPECT_EQ(partition.place_tasks("m-2", 9000).size(), 1u);
   EXPECT_EQ(partition.tick(t + 10300), std::vector<std::string>{"m-1"});
-  // A new session: shunned for a while, then one task.
+  // A new incarnation: shunned for a while, then one task.
   partition.open_job(job("run-2", 4), 12, false, {});
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {}, 0, 2), 14000).verdict,
             HeartbeatVerdict::ok);
@@ -423,8 +426,9 @@
   EXPECT_EQ(partition.place_tasks("m-1", later).size(), 1u);
 }
 
-// After a takeover a deaf machine never shows our term. It is told so twice; then its lease runs.
-TEST_F(PartitionSchedulerTest, ATermThatDoesNotFollowIsNotToldForEver) {
+// After a failover a deaf machine never shows our fencing token. It is told so twice; then its
+// lease runs.
+TEST_F(PartitionSchedulerTest, AFencingTokenThatDoesNotFollowIsNotToldForEver) {
   partition.add_machine("m-1", 5, false, 0);
   partition.add_machine("m-2", 5, false, 0);
   partition.open_job(job("run-1", 1), 7, true, {});
@@ -443,7 +447,7 @@
   EXPECT_EQ(partition.place_tasks("m-2", 16500).size(), 1u);
 }
 
-// A late copy of an older report is no proof, renews nothing and frees no room.
+// A late copy of an older heartbeat is no proof, renews nothing and frees no room.
 TEST_F(PartitionSchedulerTest, LateCopiesProveNothing) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 8), 11, false, {});
@@ -457,7 +461,7 @@
   for (Ms t : {2000, 9000})
     EXPECT_EQ(partition.on_heartbeat(empty, t).verdict, HeartbeatVerdict::stale);
   EXPECT_EQ(partition.status("run-1")->running, 8u);
-  EXPECT_EQ(partition.tick(10900).size(), 1u);  // its lease counts from the last true report
+  EXPECT_EQ(partition.tick(10900).size(), 1u);  // its lease counts from the last true heartbeat
   EXPECT_EQ(partition.on_heartbeat(empty, 30000).verdict, HeartbeatVerdict::stale);
 }
 
@@ -478,8 +482,8 @@
   EXPECT_EQ(s[0].job, "run-1");
 }
 
-// Work that borrows is not stopped sooner than the aim of the guarantee asks for.
-TEST_F(PartitionSchedulerTest, AGuaranteeIsReclaimedInTimeForItsAim) {
+// Work that borrows is not stopped sooner than the objective of the fair share asks for.
+TEST_F(PartitionSchedulerTest, AFairShareIsReclaimedInTimeForItsObjective) {
   SchedulingPolicy limits = kLimits;
   limits.fair_share_start_ms = 15000;
   PartitionScheduler patient{0, kToken, 0, limits, {{"red", 4, 12, 0, 0}, {"blue", 4, 12, 0, 0}}};
@@ -498,8 +502,8 @@
   EXPECT_EQ(patient.place_tasks("m-1", 13500).size(), 8u);  // four stopped, four started
 }
 
-// What fits into room that is free elsewhere, on a machine that has not reported since, is no
-// reason to stop a borrower.
+// What fits into room that is free elsewhere, on a machine that has not sent a heartbeat since, is
+// no reason to stop a borrower.
 TEST_F(PartitionSchedulerTest, NoBorrowerIsStoppedWhileThereIsRoomElsewhere) {
   partition.add_machine("m-1", 12, true, 0);
   partition.add_machine("m-2", 12, true, 0);
@@ -556,8 +560,8 @@
   EXPECT_EQ(freed(40000), "run-2");
 }
 
-// The work for one report must not grow with the machines of the part.
-TEST_F(PartitionSchedulerTest, AReportCostsAsMuchInALargePart) {
+// The work for one heartbeat must not grow with the machines of the partition.
+TEST_F(PartitionSchedulerTest, AHeartbeatCostsAsMuchInALargePartition) {
   auto steps = [this](int machines) {
     MachineType box{"box", 8, 0, 64, 100, 0.1, 1, 1, 10, {"a", "b"}};
     partition = PartitionScheduler(0, kToken, 0, kLimits, {{"red", 1e6, 1e6, 0, 0}});
@@ -613,7 +617,7 @@
   EXPECT_LE(partition.images_known(), constants::kImagesKnown + 1);
 }
 
-// What the leader hears of stated waits: the shortest among the arrays that the part has.
+// What the leader hears of stated waits: the shortest among the arrays that the partition has.
 TEST_F(PartitionSchedulerTest, TheShortestStatedWaitIsTold) {
   EXPECT_EQ(partition.load(0).wait_s, 0);
   JobSpec s = job("run-1");
--- a/tests/processes/command_line_test.cc
+++ b/tests/processes/command_line_test.cc
@@ -1,5 +1,5 @@
 // The upgrade commands of the real program: exit codes, what is said of bad input, and answers
-// while controllers and the state service fail.
+// while controllers and the state store fail.
 #include <unistd.h>
 
 #include <chrono>
@@ -137,7 +137,7 @@
   cluster_.start(0, build_);
   ASSERT_TRUE(all_act_under(1));
 
-  // The state service refuses all: nothing was done, or it is not known.
+  // The state store refuses all: nothing was done, or it is not known.
   w.state_outage(true);
   EXPECT_LT(timed(advance, {kFailed, kNotKnown}), kBoundedS);
   w.state_outage(false);
--- a/tests/processes/rolling_upgrade_processes_test.cc
+++ b/tests/processes/rolling_upgrade_processes_test.cc
@@ -48,7 +48,7 @@
     return o;
   }
 
-  // Jobs all the time, some of them called off; the world's users ask about each.
+  // Jobs all the time, some of them cancelled; the world's users ask about each.
   void submit_while_running() {
     World& w = cluster_.world();
     w.at(w.now() + kSubmitEveryS, [this, &w] {
--- a/tests/processes/stand_in_servers.cc
+++ b/tests/processes/stand_in_servers.cc
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-// Guard: of the ports that the system gives out by itself, one may come twice, or go to a server of
+// Of the ports that the system gives out by itself, one may come twice, or go to a server of
 // the stand-ins before the controller that was meant to have it has started.
 int free_port() {
   static int next = kFirstPort + getpid() % kPortBlocks * kPortsOfProcess;
--- a/tests/processes/stand_in_servers.h
+++ b/tests/processes/stand_in_servers.h
@@ -1,4 +1,4 @@
-// HTTP servers on loopback for what controllers deal with: state service, cloud and workers.
+// HTTP servers on loopback for what controllers deal with: state store, cloud and workers.
 #pragma once
 #include <functional>
 #include <memory>
@@ -29,7 +29,7 @@
 
   evhttp* server_;
   Handler handler_;
-  // Requests that have no answer yet. Guard: one that gets none must hang, as where an answer is
+  // Requests that have no answer yet. One that gets none must hang, as where an answer is
   // lost; a 503 would say that nothing was done.
   std::set<std::shared_ptr<net::PendingReply>> open_;
   std::string address_;
--- a/tests/random_days_test.cc
+++ b/tests/random_days_test.cc
@@ -38,7 +38,7 @@
   std::size_t dependents() const { return dependents_; }
 
  private:
-  // Reports every second, or so seldom that two leases outlast a cancellation.
+  // Heartbeats every second, or so seldom that two leases outlast a cancellation.
   Options options(std::uint64_t number) {
     Options o;
     o.seed = number;
@@ -69,7 +69,7 @@
     return out;
   }
 
-  // Services and arrays all day; most are called off at some time, some of them at once.
+  // Services and arrays all day; most are cancelled at some time, some of them at once.
   void add_jobs() {
     int next = 0;
     for (double t = 5; t < kTroublesEnd; t += number_in(0.5, 5)) {
--- a/tests/standin/checker.h
+++ b/tests/standin/checker.h
@@ -25,7 +25,7 @@
   void told(double t, const std::string& id, const std::string& phase);
   // A question about a job, and whether it was answered at all.
   void asked(double t, const std::string& id, bool answered);
-  // A controller that neither holds a lease nor has the promises of its peers answered a worker.
+  // A controller that neither holds a lease nor has the votes of its peers answered a worker.
   void answered_without_lease(double t, const std::string& what) {
     broke(t, "answered_without_lease", what);
   }
--- a/tests/standin/old_build.h
+++ b/tests/standin/old_build.h
@@ -14,7 +14,7 @@
   return text;
 }
 
-// Bodies of its requests to the state service.
+// Bodies of its requests to the state store.
 inline std::string as_old_build_writes(const std::string& body) {
   static const std::regex features(",\"features\":[0-9]+");
   static const std::regex ended_at("(\"phase\":\"[a-z]+\"),\"at_ms\":[0-9]+");
--- a/tests/standin/state_service.cc
+++ b/tests/standin/state_service.cc
@@ -168,7 +168,7 @@
   return reply;
 }
 
-// An outage does not end what is on its way: it lands once the state service is back.
+// An outage does not end what is on its way: it lands once the state store is back.
 void StateService::commit_later(Ms t, const std::string& body) {
   environment_.at(t, [this, body] {
     if (outage_) return commit_later(environment_.now() + kOutageRetry, body);
--- a/tests/standin/state_service.h
+++ b/tests/standin/state_service.h
@@ -1,4 +1,4 @@
-// The state service of the simulated world: keys with revisions, leases, transactions and watches,
+// The state store of the simulated world: keys with revisions, leases, transactions and watches,
 // as the protocol has them, and the troubles it can have.
 #pragma once
 #include <functional>
--- a/tests/standin/version_checker.h
+++ b/tests/standin/version_checker.h
@@ -1,4 +1,4 @@
-// The rules of cluster versions, checked on every transaction that lands at the state service.
+// The rules of cluster versions, checked on every transaction that lands at the state store.
 #pragma once
 #include <cstdint>
 #include <functional>
--- a/tests/standin/world.cc
+++ b/tests/standin/world.cc
@@ -292,8 +292,8 @@
            [this, &w, r] { serve_worker(w, r, [](HttpReply) {}); });
 }
 
-// Invariant 6: a report is answered with 200 only by an owner whose lease is alive, or who has the
-// promises of all peers.
+// Invariant 6: a heartbeat is answered with 200 only by an leader whose lease is alive, or who has
+// the votes of all peers.
 void World::check_may_act(const Controller& node, const std::string& heartbeat) {
   Document d;
   d.Parse(heartbeat.c_str());
--- a/tests/standin/world.h
+++ b/tests/standin/world.h
@@ -31,16 +31,16 @@
   int capacity = 4;  // further ones for rent, of each kind in each zone
   double boot_s = 6;
   double latency_ms = 4;  // of a message, at most
-  bool limits = false;    // whether the state service refuses above its rates
-  double value_kb = 8;    // of the state service
+  bool limits = false;    // whether the state store refuses above its rates
+  double value_kb = 8;    // of the state store
   int txn_ops = 16;
-  // Limits of the state service that the controllers are told of, beside the ones in force.
+  // Limits of the state store that the controllers are told of, beside the ones in force.
   std::optional<double> next_value_kb, next_write_rps;
   std::optional<int> next_txn_ops;
   std::set<int> old_nodes;           // controllers that start as the build before prerequisites
-  std::size_t changes_kept = 10000;  // by the state service, for followers
+  std::size_t changes_kept = 10000;  // by the state store, for followers
   // What the operators' upgrade file says, the same for all controllers; without one, they take no
-  // part in cluster versions.
+  // partition in cluster versions.
   std::optional<upgrade::UpgradeSettings> upgrades;
   // Controllers that are processes of their own, reached by this; none is started in the world.
   std::function<void(int node, HttpRequest request, std::function<void(HttpReply)> done)> processes;
@@ -102,7 +102,7 @@
   void downgrade(int node, double back_after_s = 4);  // it comes back as the earlier build
   // It is killed and comes back as a build that knows no later version than this one.
   void install(int node, upgrade::ClusterVersion newest, double back_after_s = 4);
-  // From now on these limits are in force at the state service.
+  // From now on these limits are in force at the state store.
   void limit_state(double value_kb, int txn_ops, double write_rps);
   // The process stands still while its clocks run on; then all that came meanwhile is taken in.
   void freeze(int node, double for_s);
@@ -119,11 +119,11 @@
   void take_machine(const std::string& id, double notice_s);
   void freeze_machine(const std::string& id, bool on);
   void set_sick(const std::string& id, bool on);
-  // What is sent to it is lost; its own reports arrive.
+  // What is sent to it is lost; its own heartbeats arrive.
   void deafen(const std::string& id, bool on);
   // It reaches no controller; what is sent to it arrives, and is answered.
   void mute(const std::string& id, bool on);
-  // Every report arrives again, after a few seconds and after well over a lease, anywhere.
+  // Every heartbeat arrives again, after a few seconds and after well over a lease, anywhere.
   void duplicate_heartbeats(bool on) { copies_ = on; }
   void set_failing(const std::string& job) { failing_jobs_.insert(job); }
   void no_capacity(bool on) { no_capacity_ = on; }
@@ -138,7 +138,7 @@
   std::vector<std::string> machines_of(const std::string& job) const;
   std::size_t machines_up() const;
   std::size_t commits() const { return state_service_.counters().commits; }
-  // Requests that were larger than the state service takes.
+  // Requests that were larger than the state store takes.
   std::size_t refused_too_large() const { return state_service_.counters().too_large; }
   const std::string* stored(const std::string& key) const { return state_service_.value(key); }
   void store(const std::string& key, const std::string& value) { state_service_.put(key, value); }
@@ -152,7 +152,7 @@
   }
   std::size_t refused_over_limit() const { return state_service_.counters().over_limit; }
   std::size_t launches_to(const std::string& machine) const;
-  // Reports that a node has answered with 200.
+  // Heartbeats that a node has answered with 200.
   std::size_t heartbeats_accepted(int node) const;
   // Whether it is up and has a lease, and how often its lease has ended.
   std::uint64_t incarnation_of(const std::string& machine) const {
@@ -207,7 +207,7 @@
     std::set<std::string> images;
     int node = 0;
     Ms next_heartbeat = 0, last_sent = -100000, lease_from = 0;
-    Ms token_change_at = -100000;  // when a higher token last made it report at once
+    Ms token_change_at = -100000;  // when a higher token last made it heartbeat at once
     bool in_flight = false, changed = false;
     std::uint64_t flight = 0;
     std::vector<std::function<void()>> unread;  // commands that came while it hung
--- a/tests/standin/world_workers.cc
+++ b/tests/standin/world_workers.cc
@@ -1,4 +1,4 @@
-// Machines and their workers: reports, commands, leases, and the troubles they can have.
+// Machines and their workers: heartbeats, commands, leases, and the troubles they can have.
 #include <rapidjson/document.h>
 
 #include "standin/machine_model.h"
@@ -105,7 +105,7 @@
 
 void World::troubles_over() { checker_.troubles_over(now()); }
 
-// Which jobs wait though a machine of any part has room for their next task.
+// Which jobs wait though a machine of any partition has room for their next task.
 void World::look_for_room() {
   schedule(now_ + 1000, [this] { look_for_room(); });
   std::map<std::string, double> team_cpus;
--- a/tests/trace_test.cc
+++ b/tests/trace_test.cc
@@ -60,13 +60,13 @@
   compare(w, "quiet_day");
 }
 
-TEST_F(Trace, OneOwnerCrashes) {
+TEST_F(Trace, OneLeaderCrashes) {
   World w({});
   usual_load(w, 5);
   w.at(9, [&] { w.crash(1); });
   w.run_until(70);
   expect_usual_load_ends(w);
-  EXPECT_EQ(w.leader_of(1), 1);  // handed back
+  EXPECT_EQ(w.leader_of(1), 1);  // given back to its preferred leader
   compare(w, "one_owner_crashes");
 }
 
@@ -81,7 +81,7 @@
   compare(w, "all_crash_at_once");
 }
 
-TEST_F(Trace, AnOwnerIsBackWithinAFractionOfASecond) {
+TEST_F(Trace, ALeaderIsBackWithinAFractionOfASecond) {
   World w({});
   usual_load(w, 5);
   w.at(9, [&] { w.crash(0, 0.2); });
@@ -109,7 +109,7 @@
   compare(w, "state_outage");
 }
 
-// The state service refuses one node: it must step aside before its part has a new owner.
+// The state store refuses one node: it must step aside before its partition has a new leader.
 TEST_F(Trace, OneNodeIsRefusedByTheStateService) {
   World w({});
   usual_load(w, 5);
@@ -120,9 +120,10 @@
   compare(w, "one_node_is_refused");
 }
 
-// A part is handed back just when the state service refuses its holder: the key must go all the
-// same. Once it stayed, and the part was without owner for as long as that process lived.
-TEST_F(Trace, AHandBackIsRefused) {
+// A partition is given back to its preferred leader just when the state store refuses its holder:
+// the key must go all the same. Once it stayed, and the partition was without leader for as long as
+// that process lived.
+TEST_F(Trace, AFailbackIsRefused) {
   World w({});
   usual_load(w, 5);
   w.at(9, [&] { w.crash(1, 8); });
@@ -139,7 +140,7 @@
   compare(w, "a_hand_back_is_refused");
 }
 
-// The claims of a vacant part are lost and never land: it is claimed again all the same.
+// The claims of a vacant partition are lost and never land: it is claimed again all the same.
 TEST_F(Trace, AClaimIsLostForEver) {
   World w({});
   usual_load(w, 5);
@@ -164,7 +165,7 @@
   std::string mode() const { return GetParam() == CutMode::hold ? "hold" : "reset"; }
 };
 
-TEST_P(CutTrace, AnOwnerIsCutFromEverything) {
+TEST_P(CutTrace, ALeaderIsCutFromEverything) {
   World w({});
   usual_load(w, 5);
   w.at(9, [&] { w.cut({"n1"}, {World::all()}, GetParam()); });
@@ -174,7 +175,7 @@
   compare(w, "owner_cut_" + mode());
 }
 
-TEST_P(CutTrace, AnOwnerIsCutFromTheStateService) {
+TEST_P(CutTrace, ALeaderIsCutFromTheStateService) {
   World w({});
   usual_load(w, 5);
   w.at(9, [&] { w.cut({"n1"}, {"state"}, GetParam()); });
@@ -186,8 +187,8 @@
   compare(w, "owner_cut_from_state_" + mode());
 }
 
-// The mesh is down: users are still answered correctly by every node.
-TEST_P(CutTrace, TheMeshIsDown) {
+// The peer links is down: users are still answered correctly by every node.
+TEST_P(CutTrace, PeerLinksAreDown) {
   World w({});
   w.at(3, [&] { w.cut({"n0", "n1", "n2"}, {"n0", "n1", "n2"}, GetParam()); });
   usual_load(w, 5);
@@ -199,7 +200,7 @@
   compare(w, "mesh_down_" + mode());
 }
 
-// Reports and commands held for longer than a lease arrive at last, and change nothing.
+// Heartbeats and commands held for longer than a lease arrive at last, and change nothing.
 TEST_P(CutTrace, MachinesAreCutForLongerThanTheirLease) {
   World w({});
   usual_load(w, 5);
@@ -257,7 +258,7 @@
   compare(w, "a_job_fails_everywhere");
 }
 
-TEST_F(Trace, ABurstRentsMachinesAndReturnsThem) {
+TEST_F(Trace, ABurstProvisionsMachinesAndReturnsThem) {
   World w({});
   w.at(5, [&] {
     for (int i = 1; i <= 6; ++i)
@@ -287,7 +288,7 @@
   compare(w, "cloud_troubles");
 }
 
-// A node that missed more changes than the state service keeps reads the keys again, and then
+// A node that missed more changes than the state store keeps reads the keys again, and then
 // knows what was accepted and what ended meanwhile.
 TEST_F(Trace, ANodeMissesMoreChangesThanAreKept) {
   Options o;
@@ -344,8 +345,8 @@
 const std::vector<std::string> kUsual = {"run-101", "run-102", "run-103",
                                          "run-104", "run-105", "run-106"};
 
-// A machine's reports arrive, but nothing reaches it; meanwhile its owner crashes. Its tasks go on
-// elsewhere, and it is not fed tasks that it cannot hear of.
+// A machine's heartbeats arrive, but nothing reaches it; meanwhile its leader crashes. Its tasks go
+// on elsewhere, and it is not fed tasks that it cannot hear of.
 TEST_F(Trace, AMachineIsHeardButDoesNotHear) {
   World w({});
   usual_load(w, 5);
@@ -367,8 +368,9 @@
   compare(w, "a_deaf_machine");
 }
 
-// Every report arrives again, 2 s and 25 s later, before and after a takeover, a move and a return.
-TEST_F(Trace, CopiesOfReportsComeLate) {
+// Every heartbeat arrives again, 2 s and 25 s later, before and after a failover, a move and a
+// return.
+TEST_F(Trace, CopiesOfHeartbeatsComeLate) {
   World w({});
   w.duplicate_heartbeats(true);
   usual_load(w, 5);
@@ -386,9 +388,9 @@
   compare(w, "late_copies");
 }
 
-// A controller reaches its workers alone: it stops in time, they find the new owner before their
+// A controller reaches its workers alone: it stops in time, they find the new leader before their
 // lease ends, and it comes back.
-TEST_P(CutTrace, AnOwnerHasOnlyItsWorkers) {
+TEST_P(CutTrace, ALeaderHasOnlyItsWorkers) {
   World w({});
   usual_load(w, 5);
   w.at(9, [&] { w.cut({"n1"}, {"state", "cloud", "n0", "n2", "user"}, GetParam()); });
@@ -403,7 +405,7 @@
 
 // A controller loses its workers alone. They are served by a peer before their leases end, and by
 // it again once it hears them.
-TEST_P(CutTrace, AnOwnerLosesItsWorkers) {
+TEST_P(CutTrace, ALeaderLosesItsWorkers) {
   World w({});
   usual_load(w, 5);
   std::set<std::string> workers;
@@ -423,8 +425,8 @@
   compare(w, "workers_lost_" + mode());
 }
 
-// A controller stands still for longer than its grant, then wakes with all that came meanwhile in
-// its buffers. It must not act for its part, which has another owner by then.
+// A controller stands still for longer than its lease, then wakes with all that came meanwhile in
+// its buffers. It must not act for its partition, which has another leader by then.
 TEST_F(Trace, AControllerStandsStill) {
   World w({});
   usual_load(w, 5);
@@ -439,7 +441,7 @@
   compare(w, "a_controller_stands_still");
 }
 
-// Workers that leave a silent owner are not sent back to it: their leases would end meanwhile.
+// Workers that leave a silent leader are not sent back to it: their leases would end meanwhile.
 TEST_F(Trace, WorkersOfASilentControllerFindTheNextInTime) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Options o;
@@ -455,8 +457,8 @@
   }
 }
 
-// Processes back within a fraction of a second: while a part is claimed, while promises are out,
-// while a part is handed back; late copies of reports follow.
+// Processes back within a fraction of a second: while a partition is claimed, while votes are out,
+// while a partition is given back to its preferred leader; late copies of heartbeats follow.
 TEST_F(Trace, ProcessesAreBackInMidElection) {
   World w({});
   w.duplicate_heartbeats(true);
@@ -536,7 +538,7 @@
 }
 
 // At size: machines that come up together cost few transactions, and users are not kept waiting by
-// the progress of arrays, within a state service that refuses what is over its rate.
+// the progress of arrays, within a state store that refuses what is over its rate.
 struct Strain {
   double changes_a_second, slowest_acceptance_s;
   std::size_t refused;
@@ -553,7 +555,7 @@
   o.teams = {{"red", 160, 240, 0, 0}, {"blue", 160, 240, 0, 0}, {"gold", 160, 240, 0, 0}};
   World w(o);
   w.run_until(25);
-  EXPECT_LT(w.commits(), 60u);  // for 90 machines, 3 parts and 3 nodes
+  EXPECT_LT(w.commits(), 60u);  // for 90 machines, 3 partitions and 3 nodes
   int n = 0;
   for (int t = 25; t < 85; ++t)
     for (const char* team : {"red", "blue", "gold"}) {
--- a/tests/upgrade/conversion_test.cc
+++ b/tests/upgrade/conversion_test.cc
@@ -314,7 +314,7 @@
   expect_rules_kept(w);
 }
 
-// Its owners fail, its jobs end and are called off, all while it goes on.
+// Its leaders fail, its jobs end and are cancelled, all while it goes on.
 TEST_P(Conversion, GoesOnThroughTakeoversEndsAndCancellations) {
   UpgradeWorld w(options());
   submit_lasting(w, 30);
--- a/tests/upgrade/random_upgrades_test.cc
+++ b/tests/upgrade/random_upgrades_test.cc
@@ -1,5 +1,5 @@
 // Random upgrades: operators ask any controller for steps forward and back while controllers crash,
-// stand still, are cut off or come back as other builds, and the state service fails. A few days
+// stand still, are cut off or come back as other builds, and the state store fails. A few days
 // run with the other tests; more are searched by hand:
 //
 //   EIDERREEL_UPGRADES=1-500 target/tests/eiderreel_tests --gtest_filter='RandomUpgrades.*'
--- a/tests/upgrade/upgrade_world.h
+++ b/tests/upgrade/upgrade_world.h
@@ -47,7 +47,7 @@
  public:
   explicit UpgradeWorld(const Options& o) : World(o) {}
 
-  // Asks a controller for a step, from the version that the state service has at that moment.
+  // Asks a controller for a step, from the version that the state store has at that moment.
   void ask_now(int node, Action action, std::set<std::string> without = {},
                std::string request = "") {
     if (request.empty()) request = "request-" + std::to_string(++requests_);
@@ -114,7 +114,7 @@
   std::map<std::string, Told> by_request_;
 };
 
-// Arrays of every team all the time, whose tasks end far apart, some of them called off.
+// Arrays of every team all the time, whose tasks end far apart, some of them cancelled.
 inline void submit_arrays(World& w, double from, double to, double every = 3) {
   int n = 0;
   for (double t = from; t < to; t += every, ++n) {
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -21,7 +21,7 @@
     o.next_write_rps = 60;
     return o;
   }
-  // Jobs before, during and after, some of them called off.
+  // Jobs before, during and after, some of them cancelled.
   static void submit_ordinary(World& w) {
     for (int n = 0; n < 20; ++n) {
       w.at(5 + 2.5 * n, [&w, n] {
