--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -63,7 +63,7 @@
   Settings s;
   if (!load(files, s)) return kExitSettings;
   std::cout << files.platform << ": good; node " << s.node << ", " << s.peers.size() << " peers, "
-            << s.teams.size() << " teams in " << s.partition_count << " parts\n";
+            << s.teams.size() << " teams in " << s.partition_count << " partitions\n";
   if (s.upgrade.enabled)
     std::cout << files.upgrade << ": good; versions " << upgrade::to_string(s.upgrade.range)
               << ", automatic steps " << (s.upgrade.automatic ? "on" : "off") << "\n";
@@ -86,7 +86,7 @@
     spdlog::error("start failed node={} reason=\"{}\"", s.node, error);
     return kExitFailed;
   }
-  spdlog::info("start node={} api={} mesh={} boot={}", s.node, s.api_addr, s.peer_addr,
+  spdlog::info("start node={} api={} peer={} boot={}", s.node, s.api_addr, s.peer_addr,
                loop.boot_id());
   controller.start();
   loop.every(constants::kTickMs, [&] { controller.tick(); });
@@ -99,7 +99,7 @@
 int main(int argc, char** argv) {
   CLI::App app{
       "eiderreel, a cluster scheduler: tasks wait in team queues and are bound to a "
-      "machine when its report shows free room."};
+      "machine when its heartbeat shows free room."};
   app.set_version_flag("--version", std::string("eiderreel ") + EIDERREEL_VERSION);
   app.require_subcommand(1);
   Files files;
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -60,7 +60,7 @@
 void Controller::frame(const std::string& bytes) {
   auto m = peer_rpc::decode(bytes);
   if (!m) {
-    spdlog::warn("mesh frame malformed bytes={}", bytes.size());
+    spdlog::warn("peer message malformed bytes={}", bytes.size());
     return;
   }
   struct Visitor {
--- a/src/controller/metrics.cc
+++ b/src/controller/metrics.cc
@@ -55,11 +55,11 @@
   const bool acts = state_store.acting_version().record_revision() != 0;
   t.value("acting_version", "", acts ? upgrade::number(state_store.acting_version().version()) : 0);
   const auto conversion = controller.partition_leader().conversion().value_or(ConversionProgress{});
-  t.type("progress_values_left", "gauge", "values still to be converted, of parts owned here");
+  t.type("progress_values_left", "gauge", "values still to be converted, of partitions led here");
   t.value("progress_values_left", "", conversion.values_left);
   t.type("progress_values_converted_total", "counter", "values converted by this process");
   t.value("progress_values_converted_total", "", conversion.values_converted);
-  t.type("progress_values_unreadable", "gauge", "values in no known form, of parts owned here");
+  t.type("progress_values_unreadable", "gauge", "values in no known form, of partitions led here");
   t.value("progress_values_unreadable", "", conversion.unreadable);
 }
 
@@ -117,54 +117,61 @@
   t.type("ready", "gauge", "1 when this node serves users");
   t.value("ready", "", controller.job_api().ready() ? 1 : 0);
   if (controller.settings().upgrade.enabled) put_version(t, controller);
-  t.type("open_jobs", "gauge", "accepted jobs that are not final, of all parts");
+  t.type("open_jobs", "gauge", "accepted jobs that are not final, of all partitions");
   t.value("open_jobs", "", v.jobs.size());
-  t.type("waiting_jobs", "gauge", "open jobs that wait for other jobs, of all parts");
+  t.type("waiting_jobs", "gauge", "open jobs that wait for other jobs, of all partitions");
   t.value("waiting_jobs", "", v.dependencies.waiting_count());
   t.type("cancelled_by_prerequisite", "gauge",
          "open jobs whose final record is still to be written");
   t.value("cancelled_by_prerequisite", "", v.dependencies.all_cancelled().size());
   t.type("unresolved_prerequisites", "gauge", "prerequisites whose end is still to be read");
   t.value("unresolved_prerequisites", "", controller.state_store().replica().unresolved().size());
-  t.type("machines", "gauge", "machines assigned to a part, of all parts");
+  t.type("machines", "gauge", "machines assigned to a partition, of all partitions");
   t.value("machines", "", v.machines.size());
-  t.type("part_term", "gauge", "term of each part owned here");
+  t.type("partition_fencing_token", "gauge", "fencing token of each partition led here");
   for (const auto& [partition, p] : controller.partition_leader().partitions())
-    t.value("part_term", fmt::format("part=\"{}\"", partition), p->fencing_token());
-  t.type("part_jobs", "gauge", "open jobs of each part owned here, by phase");
+    t.value("partition_fencing_token", fmt::format("partition=\"{}\"", partition),
+            p->fencing_token());
+  t.type("partition_jobs", "gauge", "open jobs of each partition led here, by phase");
   for (const auto& [partition, p] : controller.partition_leader().partitions()) {
     const auto c = p->task_counts();
-    t.value("part_jobs", fmt::format("part=\"{}\",phase=\"queued\"", partition), c.jobs_queued);
-    t.value("part_jobs", fmt::format("part=\"{}\",phase=\"running\"", partition), c.jobs_running);
+    t.value("partition_jobs", fmt::format("partition=\"{}\",phase=\"queued\"", partition),
+            c.jobs_queued);
+    t.value("partition_jobs", fmt::format("partition=\"{}\",phase=\"running\"", partition),
+            c.jobs_running);
   }
-  t.type("part_tasks", "gauge", "tasks of open jobs of each part owned here, by state");
+  t.type("partition_tasks", "gauge", "tasks of open jobs of each partition led here, by state");
   for (const auto& [partition, p] : controller.partition_leader().partitions()) {
     const auto c = p->task_counts();
-    t.value("part_tasks", fmt::format("part=\"{}\",state=\"queued\"", partition), c.queued);
-    t.value("part_tasks", fmt::format("part=\"{}\",state=\"bound\"", partition), c.bound);
-    t.value("part_tasks", fmt::format("part=\"{}\",state=\"running\"", partition), c.running);
-    t.value("part_tasks", fmt::format("part=\"{}\",state=\"done\"", partition), c.done);
+    t.value("partition_tasks", fmt::format("partition=\"{}\",state=\"queued\"", partition),
+            c.queued);
+    t.value("partition_tasks", fmt::format("partition=\"{}\",state=\"bound\"", partition), c.bound);
+    t.value("partition_tasks", fmt::format("partition=\"{}\",state=\"running\"", partition),
+            c.running);
+    t.value("partition_tasks", fmt::format("partition=\"{}\",state=\"done\"", partition), c.done);
   }
   const auto& o = controller.partition_leader().counters();
   auto counter = [&](const char* name, const char* help, std::uint64_t n) {
     t.type(name, "counter", help);
     t.value(name, "", n);
   };
-  counter("starts_total", "starts sent in answers to reports", o.starts);
+  counter("task_starts_total", "starts sent in replies to heartbeats", o.starts);
   counter("preemptions_total", "tasks stopped to make room", o.preemptions);
-  counter("takeovers_total", "parts claimed", o.claims);
-  counter("hand_backs_total", "parts handed back", o.failbacks);
-  counter("reports_total", "reports received", o.reports);
-  counter("stale_reports_total", "reports late, repeated or under a higher term",
+  counter("partition_claims_total", "partitions claimed", o.claims);
+  counter("failbacks_total", "partitions given back to their preferred leader", o.failbacks);
+  counter("heartbeats_total", "heartbeats received", o.reports);
+  counter("stale_heartbeats_total", "heartbeats late, repeated or under a higher fencing token",
           o.stale_heartbeats);
-  counter("deferred_reports_total", "reports that waited for work", o.deferred);
-  counter("leases_over_total", "machines given up by their lease", o.lease_expiries);
+  counter("deferred_heartbeats_total", "heartbeats whose reply waited for work", o.deferred);
+  counter("lease_expiries_total", "machines whose lease expired", o.lease_expiries);
   const auto& f = controller.fleet().counters();
-  counter("rented_total", "machines rented", controller.fleet().provisioner().provisioned_count());
-  counter("returned_total", "machines returned", f.terminated);
-  t.by_status("state_requests_total", "requests to the state service by status, 0: no answer",
+  counter("machines_provisioned_total", "machines provisioned",
+          controller.fleet().provisioner().provisioned_count());
+  counter("machines_terminated_total", "machines terminated", f.terminated);
+  t.by_status("state_store_requests_total", "requests to the state store by status, 0: no answer",
               controller.state_store().counters().replies);
-  counter("state_refused_here_total", "requests over our own share of the state service's limits",
+  counter("state_store_throttled_total",
+          "requests over this node's share of the state store's limits",
           controller.state_store().counters().refused_here);
   t.by_status("cloud_requests_total", "requests to the cloud by status, 0: no answer",
               controller.fleet().cloud().replies());
--- a/src/fleet/fleet_manager.cc
+++ b/src/fleet/fleet_manager.cc
@@ -169,8 +169,9 @@
     if (n.wait_s > 0) all.wait_s = all.wait_s > 0 ? std::min(all.wait_s, n.wait_s) : n.wait_s;
     all.idle_cpus += n.idle_cpus + n.idle_spot_cpus;
     spdlog::debug(
-        "part need part={} waiting={:.0f} used={:.0f} services={:.0f} total={:.0f} idle={}", p,
-        n.waiting_cpus, n.used_cpus, n.used_service_cpus, n.total_cpus, n.idle_machines);
+        "partition load partition={} waiting={:.0f} used={:.0f} services={:.0f} total={:.0f} "
+        "idle={}",
+        p, n.waiting_cpus, n.used_cpus, n.used_service_cpus, n.total_cpus, n.idle_machines);
   }
   double coming_cpus = 0, coming_spot = 0, boot = 0;
   std::vector<PendingMachine> on_their_way = pending_machines();
@@ -212,7 +213,7 @@
                  : all.waiting_cpus;
   const double lack = asked - all.idle_cpus - coming_cpus;
   spdlog::debug(
-      "fleet asked={:.0f} waiting={:.0f} work={:.0f} used={:.0f} idle={:.0f} coming={:.0f} "
+      "fleet asked={:.0f} waiting={:.0f} work={:.0f} used={:.0f} idle={:.0f} pending={:.0f} "
       "total={:.0f} spot={:.0f} slack={:.1f}",
       asked, all.waiting_cpus, all.waiting_core_s, all.used_cpus, all.idle_cpus, coming_cpus,
       all.total_cpus, all.spot_cpus, all.slack_s);
@@ -399,7 +400,7 @@
                 counters_.terminated += ids.size();
                 hooks_.machines_terminated(ids);
                 for (const auto& id : ids) {
-                  spdlog::info("machine returned machine={}", id);
+                  spdlog::info("machine terminated machine={}", id);
                   provisioner_.forget(id);
                 }
                 forget(ids);
--- a/src/fleet/machine_assigner.cc
+++ b/src/fleet/machine_assigner.cc
@@ -116,7 +116,7 @@
   pending_assignments_.erase(it);
   ended_(machine);
   if (outcome != CasOutcome::ok) return a.reply(503, "");
-  spdlog::info("machine assigned machine={} part={} type={} zone={} spot={}", machine,
+  spdlog::info("machine assigned machine={} partition={} type={} zone={} spot={}", machine,
                a.record.partition, a.record.type, a.record.zone, a.record.spot);
   partition_leader_.heartbeat(a.heartbeat, std::move(a.reply));
 }
--- a/src/fleet/machine_provisioner.cc
+++ b/src/fleet/machine_provisioner.cc
@@ -111,7 +111,7 @@
           auto ids = codec::parse_provisioned(r.body).value_or(std::vector<std::string>{});
           for (const auto& id : ids) provisioned_[id] = {t.name, zone, spot, runtime_.now()};
           provisioned_count_ += ids.size();
-          spdlog::info("machines rented charter={} type={} zone={} spot={} asked={} got={}",
+          spdlog::info("machines provisioned request={} type={} zone={} spot={} asked={} got={}",
                        request_name, t.name, zone, spot, count, ids.size());
           if (static_cast<int>(ids.size()) < count)
             refused_[slot(t, zone, spot)] = runtime_.now() + k::kNoCapacityPauseMs;
--- a/src/leadership/job_persistence.cc
+++ b/src/leadership/job_persistence.cc
@@ -57,7 +57,7 @@
                                       std::uint64_t fencing_token, CasOutcome out, JobPhase phase,
                                       const Reply& reply) {
   if (out == CasOutcome::ok) {
-    spdlog::info("job {} job={} term={}", codec::phase_name(phase), id, fencing_token);
+    spdlog::info("job {} job={} fencing_token={}", codec::phase_name(phase), id, fencing_token);
     return reply(200, codec::job_answer(id, phase));
   }
   LedPartition* o = led_partition(partition);
@@ -70,8 +70,8 @@
       else
         f->second.final_commit.reset();
     }
-  spdlog::warn("job not-final job={} phase={} term={} outcome={}", id, codec::phase_name(phase),
-               fencing_token, static_cast<int>(out));
+  spdlog::warn("job not-final job={} phase={} fencing_token={} outcome={}", id,
+               codec::phase_name(phase), fencing_token, static_cast<int>(out));
   reply(503, codec::error_body("the state service did not confirm; ask again"));
 }
 
--- a/src/leadership/partition_claims.cc
+++ b/src/leadership/partition_claims.cc
@@ -145,7 +145,8 @@
 void PartitionLeader::activate(int partition, std::uint64_t revision) {
   if (led_partitions_.count(partition)) return;
   ++counters_.claims;
-  spdlog::info("part claimed part={} term={} node={}", partition, revision, settings_.node);
+  spdlog::info("partition claimed partition={} fencing_token={} node={}", partition, revision,
+               settings_.node);
   LedPartition& o = led_partitions_[partition];
   o.core = std::make_unique<PartitionScheduler>(
       partition, revision, runtime_.now(),
@@ -196,15 +197,15 @@
       if (settings_.partition_of_team(j.spec.team) == partition && !v.dependencies.waits(id))
         open_in(*o, id, done[id]);
     o->active = true;
-    spdlog::info("part active part={} term={} jobs={} machines={}", partition, revision,
-                 o->core->job_count(), o->core->machine_names().size());
+    spdlog::info("partition active partition={} fencing_token={} jobs={} machines={}", partition,
+                 revision, o->core->job_count(), o->core->machine_names().size());
   });
 }
 
 void PartitionLeader::step_down(int partition, const char* reason) {
   auto it = led_partitions_.find(partition);
   if (it == led_partitions_.end()) return;
-  spdlog::info("part dropped part={} term={} reason={}", partition,
+  spdlog::info("partition released partition={} fencing_token={} reason={}", partition,
                it->second.core->fencing_token(), reason);
   auto deferred = std::move(it->second.deferred);
   led_partitions_.erase(it);
@@ -213,7 +214,7 @@
 
 void PartitionLeader::lease_lost() {
   claims_in_doubt_.clear();  // what is tethered to a lease that is over cannot land any more
-  while (!led_partitions_.empty()) step_down(led_partitions_.begin()->first, "grant-lost");
+  while (!led_partitions_.empty()) step_down(led_partitions_.begin()->first, "lease-lost");
 }
 
 void PartitionLeader::partition_changed(int partition) {
@@ -262,7 +263,7 @@
     if (node == v.nodes.end() || now - node->second.seen < k::kFailbackAfterMs ||
         !peer_alive(preferred) || has_lost_workers(preferred))
       continue;
-    relinquish(partition, "handed-back");
+    relinquish(partition, "failback");
     return;  // the map has changed; one a tick is enough
   }
 }
--- a/src/leadership/partition_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -32,7 +32,7 @@
   if (job == state_store_.view().jobs.end()) return;
   LedPartition* o = led_partition(settings_.partition_of_team(job->second.spec.team));
   if (!o || !o->active) return;
-  spdlog::info("job ready job={} term={}", id, o->core->fencing_token());
+  spdlog::info("job ready job={} fencing_token={}", id, o->core->fencing_token());
   open_in(*o, id, {});
   // Its user has cancelled it while it waited, and that is still to be recorded.
   if (auto f = o->persistence.find(id); f != o->persistence.end() && f->second.cancel_asked)
--- a/src/leadership/partition_leader.cc
+++ b/src/leadership/partition_leader.cc
@@ -173,8 +173,8 @@
   for (const auto& order : commands)
     if (order.type == CommandType::launch) {
       ++counters_.starts;
-      spdlog::debug("task start job={} task={} try={} machine={} term={}", order.job, order.index,
-                    order.attempt, machine, o.core->fencing_token_of(machine));
+      spdlog::debug("task start job={} task={} attempt={} machine={} fencing_token={}", order.job,
+                    order.index, order.attempt, machine, o.core->fencing_token_of(machine));
     }
   o.core->heartbeat_answered(machine, runtime_.now());
   reply(200, codec::heartbeat_reply_body(o.core->fencing_token_of(machine), commands));
@@ -238,7 +238,7 @@
   for (auto& [partition, o] : led_partitions_)
     for (const auto& id : machines)
       if (o.core->has_machine(id)) {
-        spdlog::info("machine gone machine={} part={} proof=cloud", id, partition);
+        spdlog::info("machine lost machine={} partition={} proof=cloud", id, partition);
         o.core->machine_terminated(id, runtime_.now());
       }
 }
@@ -289,7 +289,7 @@
     record.partition = to;
     c.preconditions.push_back({codec::machine_key(id), m.revision});
     c.writes.push_back({codec::machine_key(id), codec::encode(record, c.nonce), false});
-    spdlog::info("machine moves machine={} from={} to={} term={}", id, partition, to,
+    spdlog::info("machine transfer machine={} from={} to={} fencing_token={}", id, partition, to,
                  fencing_token);
   }
   send_transfer(partition, fencing_token, machines, std::move(c));
@@ -356,8 +356,8 @@
     for (const auto& id : o.core->tick(now)) {
       if (!acts) continue;  // they send heartbeats to somebody else
       ++counters_.lease_expiries;
-      spdlog::info("machine gone machine={} part={} term={} proof=lease", id, partition,
-                   o.core->fencing_token_of(id));
+      spdlog::info("machine lost machine={} partition={} fencing_token={} proof=lease-expiry", id,
+                   partition, o.core->fencing_token_of(id));
     }
     if (!acts) {
       // Not entitled at the moment: those who wait are sent on, nothing is started.
--- a/src/state_store/state_store_client.cc
+++ b/src/state_store/state_store_client.cc
@@ -151,7 +151,7 @@
   if (why.empty())
     spdlog::info("version ok node={}", settings_.node);
   else
-    spdlog::error("stands aside node={} reason=\"{}\"", settings_.node, why);
+    spdlog::error("standby node={} reason=\"{}\"", settings_.node, why);
 }
 
 // -------------------------------------------------------------------------------- lease
@@ -164,7 +164,7 @@
   if (old != view().nodes.end() && old->second.record.boot != runtime_.boot_id() &&
       old->second.record.lease_id != 0) {
     const std::uint64_t lease_id = old->second.record.lease_id;
-    spdlog::info("grant end node={} grant={} reason=earlier-process", settings_.node, lease_id);
+    spdlog::info("lease revoked node={} lease={} reason=earlier-process", settings_.node, lease_id);
     submit({{"", "DELETE", "/grants/" + std::to_string(lease_id), "", k::kStateTimeoutMs},
             0,
             RequestPriority::urgent,
@@ -190,7 +190,7 @@
                   sent + static_cast<Ms>(k::kLeaseTtlMs * (1 - k::kDrift)) - k::kLeaseMarginMs;
               node_written_ = false;
               acquiring_lease_ = false;
-              spdlog::info("grant new node={} grant={}", settings_.node, lease_id_);
+              spdlog::info("lease acquired node={} lease={}", settings_.node, lease_id_);
             } else {
               runtime_.after(k::kRetryMs, [this] { acquiring_lease_ = false; });
             }
@@ -213,7 +213,7 @@
               lease_valid_until_ =
                   sent + static_cast<Ms>(k::kLeaseTtlMs * (1 - k::kDrift)) - k::kLeaseMarginMs;
             } else if (r.status == 404) {
-              spdlog::warn("grant lost node={} grant={}", settings_.node, lease_id_);
+              spdlog::warn("lease lost node={} lease={}", settings_.node, lease_id_);
               lease_id_ = 0;
               lease_valid_until_ = 0;
               acting_version_.record_lost();
--- a/tests/answers_test.cc
+++ b/tests/answers_test.cc
@@ -76,10 +76,10 @@
   w.run_until(8);
   ask("GET", "/metrics");
   EXPECT_EQ(status, 200);
-  for (const char* line :
-       {"eiderreel_ready 1\n", "eiderreel_open_jobs 1\n", "eiderreel_part_term{part=\"1\"} ",
-        "eiderreel_state_requests_total{status=\"200\"} ",
-        "eiderreel_user_latency_seconds_count{kind=\"poll\"} "})
+  for (const char* line : {"eiderreel_ready 1\n", "eiderreel_open_jobs 1\n",
+                           "eiderreel_partition_fencing_token{partition=\"1\"} ",
+                           "eiderreel_state_store_requests_total{status=\"200\"} ",
+                           "eiderreel_user_latency_seconds_count{kind=\"poll\"} "})
     EXPECT_NE(body.find(line), std::string::npos) << line;
   ask("GET", "/status");
   EXPECT_EQ(status, 200);
--- a/tests/concurrent_faults_test.cc
+++ b/tests/concurrent_faults_test.cc
@@ -125,7 +125,7 @@
   EXPECT_LT(w.confirmed("run-1").at, 30 + after);
   EXPECT_EQ(w.tasks_on("run-1"), 0u);
   EXPECT_EQ(w.tasks_on("run-2"), 4u);
-  EXPECT_EQ(w.lines("lease over"), 0u);
+  EXPECT_EQ(w.lines("lease expired"), 0u);
   w.state_outage(false);
   w.state_refuses(1, false);
   w.run_until(130);
@@ -249,11 +249,11 @@
   double moved = 0;
   w.at(11, [&, late_s = late_s] {
     w.late_writes({1, late_s, late_s + 0.1});
-    before = w.lines("machine moves");
+    before = w.lines("machine transfer");
   });
   for (double t = 11.01; t < 60; t += 0.05)
     w.at(t, [&] {
-      if (moved > 0 || w.lines("machine moves") == before) return;
+      if (moved > 0 || w.lines("machine transfer") == before) return;
       moved = w.now();
       w.late_writes({});
       for (int n = 0; n < 3; ++n) w.state_refuses(n, true);
@@ -469,7 +469,7 @@
        },
        [](World& w) {
          EXPECT_EQ(w.lines("is dead"), 3u);
-         EXPECT_EQ(w.lines("machine returned machine=m-000001"), 0u);
+         EXPECT_EQ(w.lines("machine terminated machine=m-000001"), 0u);
        }},
       {"AllAreAwayForLongerThanALease", 31,
        [](World& w, Load& load) {
@@ -478,7 +478,7 @@
            for (int i = 0; i < 3; ++i) w.crash(i, 15 + i);
          });
        },
-       [](World& w) { EXPECT_GE(w.lines("lease over"), 3u); }},
+       [](World& w) { EXPECT_GE(w.lines("lease expired"), 3u); }},
       {"LeadersChangeTenTimesInTwoMinutesAlsoInAnOutage", 135,
        [](World& w, Load& load) {
          usual(w, load);
@@ -490,7 +490,7 @@
          w.at(75, [&w] { w.state_outage(false); });
        },
        [](World& w) {
-         EXPECT_GE(w.lines("part claimed part=0"), 10u);
+         EXPECT_GE(w.lines("partition claimed partition=0"), 10u);
          EXPECT_GE(w.lines("crashes"), 10u);
        }},
       {"OldReportsOfEarlierSessionsArriveAfterNewerOnes", 60,
@@ -517,7 +517,7 @@
          w.at(10, [&w] { w.crash(1, 6); });
          for (double t = 16; t < 30; t += 0.05)
            w.at(t, [&w] {
-             if (w.lines("world all end") || w.lines("reason=handed-back") < 3) return;
+             if (w.lines("world all end") || w.lines("reason=failback") < 3) return;
              w.note("world all end");
              for (int i : {1, 2}) w.crash(i, 20);
              w.crash(0, 0.4);
@@ -584,7 +584,7 @@
          load.end.erase(std::find(load.end.begin(), load.end.end(), "run-106"));
          w.at(26, [&w] { w.heal(); });
        },
-       [](World& w) { EXPECT_GE(w.lines("lease over"), 1u); }},
+       [](World& w) { EXPECT_GE(w.lines("lease expired"), 1u); }},
       {"JobsOfThreeTasksEndFarApartAcrossLeaders", 60,
        [](World& w, Load& load) {
          w.at(5, [&w] {
@@ -611,7 +611,7 @@
          w.at(20.4, [&w] { w.heal(); });  // within their lease
        },
        [](World& w) {
-         EXPECT_GE(w.lines("part claimed part=1"), 2u);
+         EXPECT_GE(w.lines("partition claimed partition=1"), 2u);
          EXPECT_EQ(w.lines("world healed"), 1u);
        }},
       {"ALeaderEndsAndMachinesDoNotHearTheNextOne", 45,
@@ -680,7 +680,7 @@
        },
        [](World& w) {
          EXPECT_GE(w.confirmed("run-1").node, 0);
-         EXPECT_GE(w.lines("part claimed part=1"), 2u);
+         EXPECT_GE(w.lines("partition claimed partition=1"), 2u);
        }},
       {"TransactionsAreCarriedOutLateAfterNewerOnes", 90,
        [](World& w, Load& load) {
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -40,7 +40,7 @@
   w.run_until(62);
   EXPECT_GE(running, 3800u);
   EXPECT_GE(w.lines("machine assigned"), static_cast<std::size_t>(kMachines));
-  EXPECT_GE(w.lines("part claimed"), 4u);
+  EXPECT_GE(w.lines("partition claimed"), 4u);
   // Each is known to be gone by a whole list alone.
   EXPECT_EQ(w.lines("machine released machine=" + machine(1)), 1u);
   EXPECT_GE(w.lines("machine forgotten machine=" + machine(2)), 1u);
--- a/tests/standin/world_workers.cc
+++ b/tests/standin/world_workers.cc
@@ -94,7 +94,7 @@
 }
 
 void World::end_lease(Worker& w) {
-  if (!w.tasks.empty()) note(w.id + " lease over");
+  if (!w.tasks.empty()) note(w.id + " lease expired");
   for (auto& [key, t] : w.tasks)
     if (on_machine(t)) checker_.task_off(w.id, key.first, key.second);
   w.tasks.clear();
--- a/tests/trace_test.cc
+++ b/tests/trace_test.cc
@@ -14,7 +14,8 @@
 namespace {
 
 void expect_no_lease_ends(const World& w) {
-  for (const auto& line : w.trace()) EXPECT_EQ(line.find("lease over"), std::string::npos) << line;
+  for (const auto& line : w.trace())
+    EXPECT_EQ(line.find("lease expired"), std::string::npos) << line;
 }
 
 struct Trace : testing::Test {
@@ -67,7 +68,7 @@
   w.run_until(70);
   expect_usual_load_ends(w);
   EXPECT_EQ(w.leader_of(1), 1);  // given back to its preferred leader
-  compare(w, "one_owner_crashes");
+  compare(w, "one_leader_crashes");
 }
 
 TEST_F(Trace, AllCrashAtOnce) {
@@ -87,7 +88,7 @@
   w.at(9, [&] { w.crash(0, 0.2); });
   w.run_until(60);
   expect_usual_load_ends(w);
-  compare(w, "an_owner_is_back_at_once");
+  compare(w, "a_leader_is_back_at_once");
 }
 
 TEST_F(Trace, RollingRestart) {
@@ -137,7 +138,7 @@
   w.run_until(60);
   EXPECT_EQ(w.leader_of(1), 1);
   expect_usual_load_ends(w);
-  compare(w, "a_hand_back_is_refused");
+  compare(w, "a_failback_is_refused");
 }
 
 // The claims of a vacant partition are lost and never land: it is claimed again all the same.
@@ -172,7 +173,7 @@
   w.at(40, [&] { w.heal(); });
   w.run_until(90);
   expect_usual_load_ends(w);
-  compare(w, "owner_cut_" + mode());
+  compare(w, "leader_cut_" + mode());
 }
 
 TEST_P(CutTrace, ALeaderIsCutFromTheStateService) {
@@ -184,7 +185,7 @@
   w.run_until(90);
   EXPECT_EQ(w.phase("run-103"), "cancelled");
   EXPECT_EQ(w.phase("run-104"), "done");
-  compare(w, "owner_cut_from_state_" + mode());
+  compare(w, "leader_cut_from_state_" + mode());
 }
 
 // The peer links is down: users are still answered correctly by every node.
@@ -197,7 +198,7 @@
   w.run_until(70);
   EXPECT_EQ(w.phase("run-101"), "cancelled");
   EXPECT_EQ(w.phase("run-104"), "done");
-  compare(w, "mesh_down_" + mode());
+  compare(w, "peer_links_down_" + mode());
 }
 
 // Heartbeats and commands held for longer than a lease arrive at last, and change nothing.
--- a/tests/upgrade/rolling_upgrade_test.cc
+++ b/tests/upgrade/rolling_upgrade_test.cc
@@ -162,7 +162,7 @@
     w.at(30, [&] { w.install(1, ClusterVersion::base, 2); });
     w.run_until(45);
     EXPECT_EQ(w.acting(1), 0u);
-    EXPECT_NE(w.leader_of(1), 1) << "its part goes to another";
+    EXPECT_NE(w.leader_of(1), 1) << "its partition goes to another";
     EXPECT_NE(w.leader_of(1), -1);
     Told ready, status;
     w.raw(1, "GET", "/ready", "", [&](int s, std::string body) { ready = {s, std::move(body)}; });
@@ -394,7 +394,7 @@
   EXPECT_EQ(w.keys_under("e/part/"), 0u);
   EXPECT_EQ(w.keys_under("e/node/"), 0u);
   EXPECT_EQ(w.commits(), 0u);
-  EXPECT_GT(w.lines("stands aside"), 0u);
+  EXPECT_GT(w.lines("standby node="), 0u);
 }
 
 TEST_P(RollingUpgrade, AVersionThatCannotBeReadStopsNewControllersOnly) {
