--- /dev/null
+++ b/tests/stored_state_resumed_test.cc
@@ -0,0 +1,180 @@
+// A cluster that is started on a state store written by the sources before a renaming goes on with
+// it; see stored_state_test.cc for the values themselves.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+
+#include "fixtures/stored_state.h"
+
+using namespace eiderreel;
+using namespace eiderreel::standin;
+
+namespace {
+
+const char kStoredValuesFile[] = EIDERREEL_SOURCE_DIR "/tests/fixtures/state_store.json";
+
+// The last of the jobs that others wait for to be done, and how long their tasks run.
+bool is_last_prerequisite(const std::string& id) {
+  return id == "run-101" || id == long_ids().back();
+}
+constexpr double kPrerequisiteS = 40, kBeforeItEndsS = 35;
+constexpr double kSubmittedS = 2;  // no partition has an leader yet
+constexpr double kClaimedS = 3.9;  // all partitions have an leader; no machine has moved yet
+constexpr double kAllOverS = 120;
+
+// A cluster that starts on the stored state; what is bound to a lease is gone by then.
+class ResumedDay : public UpgradeWorld {
+ public:
+  ResumedDay() : UpgradeWorld(options()) {
+    for (const auto& [key, value] : read_stored_values(kStoredValuesFile))
+      if (!has_prefix(key, "e/part/") && !has_prefix(key, "e/node/")) store(key, value);
+    for (const auto& day : {jobs_of_first_day(), jobs_of_second_day()})
+      for (const StoredJob& job : day) submit_again(job);
+    checker().submitted(done_job());
+    tell_done(done_job().id, {0, 1});
+    checker().submitted(cancelled_job());
+    checker().cancel_asked(cancelled_job().id);
+    checker().submitted(every_field_set());
+  }
+
+  const std::vector<StoredJob>& open_jobs() const { return open_; }
+  void poll(const std::string& id) {
+    poll_once(0, id, [](int status, const std::string&) { EXPECT_EQ(status, 200); });
+  }
+  // The partition of each machine, as the leaders have them.
+  std::map<std::string, int> machines_owned() {
+    std::map<std::string, int> machines;
+    for (int i = 0; i < stored_day_options().nodes; ++i)
+      for (const auto& [partition, core] : node(i)->partition_leader().partitions())
+        for (const std::string& name : core->machine_names()) machines[name] = partition;
+    return machines;
+  }
+  // The tasks of each job that began to run, as often as they did.
+  std::map<std::string, std::vector<std::uint32_t>> started() const {
+    static const std::string runs = " runs ";
+    std::map<std::string, std::vector<std::uint32_t>> tasks;
+    for (const std::string& line : trace()) {
+      const auto at = line.find(runs), slash = line.rfind('/');
+      if (at == std::string::npos) continue;
+      const auto job = at + runs.size();
+      tasks[line.substr(job, slash - job)].push_back(
+          static_cast<std::uint32_t>(std::stoul(line.substr(slash + 1))));
+    }
+    for (auto& [job, started] : tasks) std::ranges::sort(started);
+    return tasks;
+  }
+
+ private:
+  static Options options() {
+    Options o = stored_day_options();
+    o.upgrades = enabled_upgrades();
+    return o;
+  }
+  // Users repeat their submissions, so that the workers know the jobs. A task that is recorded as
+  // done would never end.
+  void submit_again(const StoredJob& job) {
+    const double run_s = is_last_prerequisite(job.spec.id) ? kPrerequisiteS : 1;
+    set_run_s(job.spec.id, job.run_times(kNeverEndsS, run_s));
+    checker().submitted(job.spec);
+    at(kSubmittedS, [this, spec = job.spec] { submit(spec); });
+    tell_done(job.spec.id, job.done);
+    open_.push_back(job);
+  }
+  void tell_done(const std::string& id, const std::vector<std::uint32_t>& tasks) {
+    for (const std::uint32_t task : tasks) checker().task_done(0, id, task);
+  }
+
+  std::vector<StoredJob> open_;
+};
+
+class StoredStateGoesOn : public testing::Test {
+ protected:
+  void end_of_day() {
+    w_.run_until(kAllOverS);
+    for (const auto& id : {stored_service().id, every_field_set().id}) w_.cancel(id);
+    for (const auto& id : {done_job().id, cancelled_job().id}) w_.poll(id);
+    w_.run_until(kAllOverS + 20);
+    expect_rules_kept(w_);
+  }
+
+  ResumedDay w_;
+};
+
+TEST_F(StoredStateGoesOn, OpenJobsAreKnown) {
+  std::vector<int> submissions, polls;  // statuses of their answers
+  for (const StoredJob& job : w_.open_jobs()) {
+    w_.at(kSubmittedS / 2, [&] {
+      w_.raw(0, "POST", "/v1/jobs", submission_text(job.spec),
+             [&](int status, const std::string&) { submissions.push_back(status); });
+    });
+    w_.at(kClaimedS, [&] {
+      w_.poll_once(0, job.spec.id,
+                   [&](int status, const std::string&) { polls.push_back(status); });
+    });
+  }
+  w_.run_until(kClaimedS + 1);
+  const std::vector<int> all_known(w_.open_jobs().size(), 200);  // 201: accepted anew
+  EXPECT_EQ(submissions, all_known);
+  EXPECT_EQ(polls, all_known);
+}
+
+TEST_F(StoredStateGoesOn, OnlyTheMissingTasksOfOpenJobsRun) {
+  end_of_day();
+  const auto started = w_.started();
+  for (const StoredJob& job : w_.open_jobs()) {
+    const std::string& id = job.spec.id;
+    const std::set<std::uint32_t> done(job.done.begin(), job.done.end());
+    const auto missing =
+        tasks_where(job.spec.tasks, [&](std::uint32_t task) { return done.count(task) == 0; });
+    ASSERT_TRUE(started.count(id)) << id;
+    EXPECT_EQ(started.at(id), missing) << id;
+    EXPECT_EQ(w_.phase(id), job.spec.kind == JobKind::service ? "cancelled" : "done") << id;
+  }
+}
+
+TEST_F(StoredStateGoesOn, WaitingJobsWaitForTheirPrerequisites) {
+  w_.run_until(kBeforeItEndsS);
+  for (const std::string id : {"run-104", "run-105"}) {
+    EXPECT_EQ(w_.phase(id), "queued") << id;
+    EXPECT_FALSE(w_.started().count(id)) << id;
+  }
+  EXPECT_EQ(w_.phase("run-102"), "done");
+  EXPECT_EQ(w_.tasks_on(stored_service().id), stored_service().tasks);
+  end_of_day();
+  for (const std::string id : {"run-104", "run-105"}) EXPECT_EQ(w_.phase(id), "done") << id;
+}
+
+TEST_F(StoredStateGoesOn, EndsAreToldAndNothingOfTheJobsIsLeft) {
+  end_of_day();
+  EXPECT_EQ(w_.phase(done_job().id), "done");
+  EXPECT_EQ(w_.phase(cancelled_job().id), "cancelled");
+  EXPECT_EQ(w_.phase(every_field_set().id), "cancelled");  // it was known, and fitted nowhere
+  for (const char* prefix : {"e/job/", "e/awaits/", "d/"}) EXPECT_EQ(w_.keys_under(prefix), 0u);
+}
+
+TEST_F(StoredStateGoesOn, MachinesKeepTheirPartitionsAndTheReleasedOneIsReturned) {
+  w_.run_until(kClaimedS);
+  EXPECT_EQ(w_.machines_owned(), (std::map<std::string, int>{{machine(0), 0},
+                                                             {machine(1), 1},
+                                                             {machine(2), 0},
+                                                             {machine(3), 1},
+                                                             {machine(4), 0},
+                                                             {machine(5), 1},
+                                                             {machine(6), 2},
+                                                             {machine(7), 0},
+                                                             {kSpotMachine, 1}}));
+  EXPECT_EQ(w_.lines(std::string(kReleasedMachine) + " is returned"), 1u);
+  EXPECT_EQ(w_.stored(codec::machine_key(kReleasedMachine)), nullptr);
+  end_of_day();
+  EXPECT_EQ(w_.stored(codec::machine_key(kSpotMachine)), nullptr);  // it was gone
+}
+
+TEST_F(StoredStateGoesOn, ControllersActUnderTheStoredVersion) {
+  end_of_day();
+  for (int node = 0; node < 3; ++node) EXPECT_EQ(w_.acting(node), 2u);
+  EXPECT_EQ(w_.cluster_version(), 2u);
+  EXPECT_EQ(w_.versions().progress_written(false), 0u);
+  EXPECT_GT(w_.versions().progress_written(true), 0u);
+}
+
+}  // namespace
--- /dev/null
+++ b/tests/stored_state_test.cc
@@ -0,0 +1,300 @@
+// A state store written by the sources before a renaming is read by the sources after it, and they
+// write the same. The fixture was written once, by tests/measure/write_fixtures.cc, and is never
+// written by a test. That a cluster goes on with it is shown in stored_state_resumed_test.cc.
+#include "fixtures/stored_state.h"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <iterator>
+#include <tuple>
+
+#include "upgrade/upgrade_json.h"
+
+using namespace eiderreel;
+using namespace eiderreel::standin;
+using upgrade::ClusterVersion;
+using upgrade::ProgressForm;
+using upgrade::StepOutcome;
+
+namespace {
+
+const char kStoredValuesFile[] = EIDERREEL_SOURCE_DIR "/tests/fixtures/state_store.json";
+
+auto fields(const JobSpec& j) {
+  return std::tuple(
+      std::tie(j.id, j.jobclass, j.team, j.kind, j.priority, j.tasks, j.cpus, j.gpus, j.memory_gb),
+      std::tie(j.types, j.zone, j.one_zone, j.spread, j.spot, j.image, j.image_gb, j.estimate_s),
+      std::tie(j.checkpoint_s, j.save_s, j.deadline_s, j.accepted_at, j.prerequisites));
+}
+auto fields(const codec::MachineRecord& m) {
+  return std::tie(m.partition, m.type, m.zone, m.addr, m.spot);
+}
+auto fields(const upgrade::StepRecord& s) {
+  return std::tie(s.at, s.who, s.reason, s.request, s.controller, s.action, s.from, s.to, s.outcome,
+                  s.without, s.obstacles);
+}
+
+// ------------------------------------------------------------------------------ stored values
+
+// The fixture, and which of its values were looked at.
+class StoredValueReader {
+ public:
+  // Null: the fixture has no such key, or the value cannot be read.
+  const codec::StateRow* read(const std::string& key) {
+    const auto value = values_.find(key);
+    if (value == values_.end()) {
+      ADD_FAILURE() << "nothing is stored as " << key;
+      return nullptr;
+    }
+    auto row = codec::parse_row(codec::stored_row(key, value->second, 9));
+    if (!row) ADD_FAILURE() << "cannot read " << key;
+    return row ? &(rows_[key] = std::move(*row)) : nullptr;
+  }
+  void expect_written_again(const codec::StateRow& row, const std::string& value) {
+    EXPECT_FALSE(row.nonce.empty()) << row.key;
+    EXPECT_EQ(value, values_.at(row.key)) << row.key;
+  }
+  std::vector<std::string> not_read() const {
+    std::vector<std::string> keys;
+    for (const auto& [key, value] : values_)
+      if (!rows_.count(key)) keys.push_back(key);
+    return keys;
+  }
+
+ private:
+  const StoredValues values_ = read_stored_values(kStoredValuesFile);
+  std::map<std::string, codec::StateRow> rows_;
+};
+
+void expect_job(StoredValueReader& stored, const JobSpec& expected) {
+  const auto* row = stored.read(codec::job_key(expected.id));
+  ASSERT_TRUE(row && row->job) << expected.id;
+  EXPECT_EQ(fields(*row->job), fields(expected)) << expected.id;
+  EXPECT_EQ(row->prerequisite_chunks, 0u);
+  EXPECT_EQ(row->has_prerequisites(), !expected.prerequisites.empty());
+  stored.expect_written_again(*row, codec::encode(*row->job, row->nonce));
+}
+
+// A job whose prerequisites stand in values of their own.
+void expect_spread_job(StoredValueReader& stored, JobSpec expected) {
+  const auto prerequisites = std::exchange(expected.prerequisites, {});
+  const auto* row = stored.read(codec::job_key(expected.id));
+  ASSERT_TRUE(row && row->job);
+  EXPECT_EQ(fields(*row->job), fields(expected));
+  ASSERT_EQ(row->prerequisite_chunks, kPrerequisitePartsStored);
+  stored.expect_written_again(
+      *row, codec::encode_with_chunks(*row->job, row->prerequisite_chunks, row->nonce));
+  const auto split = prerequisites.begin() + kIdsInFirstPart;
+  const std::vector<std::string> expected_parts[] = {{prerequisites.begin(), split},
+                                                     {split, prerequisites.end()}};
+  for (std::size_t partition = 0; partition < kPrerequisitePartsStored; ++partition) {
+    const auto* values = stored.read(codec::prerequisite_key(expected.id, row->nonce, partition));
+    ASSERT_TRUE(values && values->prerequisites);
+    EXPECT_EQ(values->prerequisites->jobs, expected_parts[partition]);
+    stored.expect_written_again(*values, codec::encode(*values->prerequisites, values->nonce));
+    const auto key = codec::parse_prerequisite_key(values->key);
+    ASSERT_TRUE(key);
+    EXPECT_EQ(std::tie(key->job, key->nonce, key->chunk),
+              std::tie(expected.id, row->nonce, partition));
+  }
+}
+
+// The fields of a value of progress that tell its form, as every build writes and reads them.
+enum class ProgressText { bits, compact_bits, roaring };
+
+void expect_progress(StoredValueReader& stored, int partition, const std::string& job,
+                     const codec::TaskRange& range, ProgressText text,
+                     const std::vector<std::uint32_t>& all_done) {
+  const auto* row = stored.read(codec::done_key(partition, job, range));
+  ASSERT_TRUE(row && row->done) << job;
+  std::vector<std::uint32_t> expected;
+  std::copy_if(all_done.begin(), all_done.end(), std::back_inserter(expected),
+               [&](auto task) { return task >= range.first && task - range.first < range.count; });
+  EXPECT_EQ(row->done->tasks, expected) << row->key;
+  const auto form = text == ProgressText::bits ? ProgressForm::bits : ProgressForm::compact;
+  EXPECT_EQ(row->done->form, form) << row->key;
+  const auto value = codec::encode_done(row->done->tasks, range, row->done->form, row->nonce);
+  EXPECT_EQ(value.find("roaring") != std::string::npos, text == ProgressText::roaring) << value;
+  stored.expect_written_again(*row, value);
+  EXPECT_EQ(codec::done_key_job(row->key), job);
+}
+
+std::vector<std::uint32_t> done_tasks(const std::string& id) {
+  for (const auto& day : {jobs_of_first_day(), jobs_of_second_day()})
+    for (const StoredJob& job : day)
+      if (job.spec.id == id) return job.done;
+  return {};
+}
+
+// Of run-204, when one value was still enough for all that had ended.
+std::vector<std::uint32_t> outgrown_tasks() {
+  auto tasks = done_tasks("run-204");
+  std::erase_if(tasks, [](std::uint32_t task) { return task > 5604; });
+  return tasks;
+}
+
+void expect_all_progress(StoredValueReader& stored) {
+  const codec::TaskRange chunk{0, constants::kProgressChunkTasks}, first{0, kFirstOfSecond},
+      second{kFirstOfSecond, kFirstOfSecond}, whole{0, constants::kTasksMax, true};
+  auto expect = [&](int partition, const std::string& job, const codec::TaskRange& range,
+                    auto text) {
+    expect_progress(stored, partition, job, range, text, done_tasks(job));
+  };
+  expect(0, "run-101", chunk, ProgressText::bits);
+  expect(1, "run-102", first, ProgressText::bits);
+  expect(1, "run-102", second, ProgressText::bits);
+  expect(0, "run-201", chunk, ProgressText::roaring);
+  expect(1, "run-202", chunk, ProgressText::compact_bits);
+  expect(2, "run-203", whole, ProgressText::roaring);
+  expect(1, "run-204", second, ProgressText::roaring);
+  expect(0, "run-205", whole, ProgressText::compact_bits);
+  expect_progress(stored, 1, "run-204", whole, ProgressText::compact_bits, outgrown_tasks());
+  expect_progress(stored, 1, done_job().id, kLeftOverRange, ProgressText::bits, left_over_tasks());
+}
+
+void expect_final(StoredValueReader& stored, const std::string& job, JobPhase phase, Ms at) {
+  const auto* row = stored.read(codec::final_key(job));
+  ASSERT_TRUE(row);
+  EXPECT_EQ(row->final_phase, phase);
+  EXPECT_EQ(row->final_at, at);
+  stored.expect_written_again(*row, codec::encode_final(phase, at, row->nonce));
+}
+
+void expect_machine(StoredValueReader& stored, const std::string& name,
+                    const codec::MachineRecord& expected) {
+  const auto* row = stored.read(codec::machine_key(name));
+  ASSERT_TRUE(row && row->machine);
+  EXPECT_EQ(fields(*row->machine), fields(expected)) << name;
+  stored.expect_written_again(*row, codec::encode(*row->machine, row->nonce));
+}
+
+void expect_machines(StoredValueReader& stored) {
+  const std::vector<int> partitions = {0, 1, 0, 1, 0, 1, 2, 0, -1};
+  for (int n = 0; n < static_cast<int>(partitions.size()); ++n)
+    expect_machine(stored, machine(n),
+                   {partitions[static_cast<std::size_t>(n)], "box", n % 2 ? "b" : "a",
+                    address(machine(n)), false});
+  expect_machine(stored, kSpotMachine, spot_machine());
+}
+
+// Partitions and controllers, which are bound to leases.
+void expect_controllers(StoredValueReader& stored) {
+  for (int n = 0; n < 3; ++n) {
+    const std::string name = "n" + std::to_string(n);
+    const auto lease_id = static_cast<std::uint64_t>(n + 1);
+    const auto* partition = stored.read(codec::partition_key(n));
+    ASSERT_TRUE(partition && partition->partition);
+    EXPECT_EQ(std::tie(partition->partition->leader, partition->partition->lease_id),
+              std::tie(name, lease_id));
+    stored.expect_written_again(*partition, codec::encode(*partition->partition, partition->nonce));
+
+    const auto* node = stored.read(codec::node_key(name));
+    ASSERT_TRUE(node && node->node);
+    EXPECT_EQ(node->node->boot, "b1");
+    EXPECT_EQ(node->node->lease_id, lease_id);
+    EXPECT_EQ(node->node->features, 1u);
+    const auto& versions = node->node->versions;
+    ASSERT_EQ(versions.has_value(), n != 2);
+    if (versions) {
+      EXPECT_EQ(upgrade::number(versions->range.oldest), 1u);
+      EXPECT_EQ(upgrade::number(versions->range.newest), 4u);
+      EXPECT_EQ(versions->acting, ClusterVersion::write_compact);
+      EXPECT_EQ(versions->build, "test");
+    }
+    stored.expect_written_again(*node, codec::encode(*node->node, node->nonce));
+  }
+}
+
+void expect_version(StoredValueReader& stored) {
+  const auto* row = stored.read(codec::version_key());
+  ASSERT_TRUE(row && row->version);
+  EXPECT_EQ(row->version->version, ClusterVersion::write_compact);
+  EXPECT_EQ(row->version->from, ClusterVersion::base);
+  EXPECT_EQ(row->version->at, 1024001);
+  EXPECT_EQ(row->version->who, "ops1");
+  EXPECT_EQ(row->version->request, "request-3");
+  stored.expect_written_again(*row, codec::encode(*row->version, row->nonce));
+}
+
+void expect_history(StoredValueReader& stored) {
+  const auto base = ClusterVersion::base, compact = ClusterVersion::write_compact;
+  const std::string why_not =
+      "cluster: the next step is not final; it is taken by `upgrade advance`";
+  const std::pair<const char*, upgrade::StepRecord> records[] = {{"n0.b1.14",
+                                                                  {1012001,
+                                                                   "ops1",
+                                                                   "a test",
+                                                                   "request-1",
+                                                                   "n0",
+                                                                   Action::advance,
+                                                                   base,
+                                                                   compact,
+                                                                   StepOutcome::taken,
+                                                                   {},
+                                                                   {}}},
+                                                                 {"n1.b1.8",
+                                                                  {1018001,
+                                                                   "ops1",
+                                                                   "a test",
+                                                                   "request-2",
+                                                                   "n1",
+                                                                   Action::abort,
+                                                                   compact,
+                                                                   base,
+                                                                   StepOutcome::taken,
+                                                                   {},
+                                                                   {}}},
+                                                                 {"n2.b1.9",
+                                                                  {1024001,
+                                                                   "ops1",
+                                                                   "a test",
+                                                                   "request-3",
+                                                                   "n2",
+                                                                   Action::advance,
+                                                                   base,
+                                                                   compact,
+                                                                   StepOutcome::taken,
+                                                                   {},
+                                                                   {}}},
+                                                                 {"n0.b1.18",
+                                                                  {1030001,
+                                                                   "ops1",
+                                                                   "a test",
+                                                                   "request-4",
+                                                                   "n0",
+                                                                   Action::finalize,
+                                                                   compact,
+                                                                   std::nullopt,
+                                                                   StepOutcome::refused,
+                                                                   {"n1", "n2"},
+                                                                   {why_not}}}};
+  for (const auto& [nonce, expected] : records) {
+    const auto* row = stored.read(codec::history_key(expected.at, nonce));
+    ASSERT_TRUE(row);
+    const auto record = codec::parse_step_record(row->text);
+    ASSERT_TRUE(record);
+    EXPECT_EQ(fields(*record), fields(expected));
+    EXPECT_EQ(row->nonce, nonce);
+    stored.expect_written_again(*row, codec::encode(*record, row->nonce));
+  }
+}
+
+TEST(StoredState, EveryValueIsReadAndWrittenAgain) {
+  StoredValueReader stored;
+  for (const auto& day : {jobs_of_first_day(), jobs_of_second_day()})
+    for (const StoredJob& job : day)
+      if (job.spec.id != waiting_for_many().spec.id) expect_job(stored, job.accepted_spec());
+  expect_job(stored, every_field_set());
+  expect_spread_job(stored, waiting_for_many().accepted_spec());
+  expect_all_progress(stored);
+  expect_final(stored, done_job().id, JobPhase::done, 1014470);
+  expect_final(stored, cancelled_job().id, JobPhase::cancelled, 1020002);
+  expect_machines(stored);
+  expect_controllers(stored);
+  expect_version(stored);
+  expect_history(stored);
+  EXPECT_EQ(stored.not_read(), std::vector<std::string>{});
+}
+
+}  // namespace
