--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include "codec/job_json.h"
+
 namespace eiderreel {
 
 namespace k = constants;
--- a/src/api/job_api.h
+++ b/src/api/job_api.h
@@ -4,8 +4,8 @@
 #include <string>
 
 #include "api/job_admission.h"
-#include "controller/metrics.h"
 #include "leadership/partition_leader.h"
+#include "observability/latency_histogram.h"
 #include "state_store/state_store_client.h"
 
 namespace eiderreel {
--- a/src/codec/cloud_json.cc
+++ b/src/codec/cloud_json.cc
@@ -1,5 +1,6 @@
 // The catalog, the list of machines and rentals.
-#include "codec/json.h"
+#include "codec/cloud_json.h"
+
 #include "codec/json_fields.h"
 
 namespace eiderreel::codec {
--- a/src/codec/job_json.cc
+++ b/src/codec/job_json.cc
@@ -1,9 +1,11 @@
 // Jobs as users submit and see them.
+#include "codec/job_json.h"
+
 #include <rapidjson/error/en.h>
 
+#include <algorithm>
 #include <set>
 
-#include "codec/json.h"
 #include "codec/json_fields.h"
 
 namespace eiderreel::codec {
--- a/src/codec/json_fields.h
+++ b/src/codec/json_fields.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "model/types.h"
+#include "model/job.h"
 
 namespace eiderreel::codec::fields {
 
--- a/src/codec/state_json.cc
+++ b/src/codec/state_json.cc
@@ -1,8 +1,10 @@
 // Keys and values kept in the state store, and its requests and answers.
+#include "codec/state_json.h"
+
 #include <algorithm>
 #include <limits>
 
-#include "codec/json.h"
+#include "codec/job_json.h"
 #include "codec/json_fields.h"
 #include "codec/progress_form.h"
 
--- a/src/codec/worker_json.cc
+++ b/src/codec/worker_json.cc
@@ -1,5 +1,6 @@
 // Heartbeats of workers, and the commands for them.
-#include "codec/json.h"
+#include "codec/worker_json.h"
+
 #include "codec/json_fields.h"
 
 namespace eiderreel::codec {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,11 +1,12 @@
 // The platform's settings file and the operators' own, as values.
 #pragma once
+#include <algorithm>
 #include <map>
 #include <string>
 #include <vector>
 
 #include "config/upgrade_settings.h"
-#include "model/types.h"
+#include "model/team.h"
 
 namespace eiderreel {
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include "codec/job_json.h"
+#include "codec/worker_json.h"
 #include "controller/metrics.h"
 #include "upgrade/http_routes.h"
 
--- a/src/controller/metrics.cc
+++ b/src/controller/metrics.cc
@@ -85,32 +85,6 @@
 
 }  // namespace
 
-LatencyHistogram::LatencyHistogram()
-    : histogram_(boost::histogram::make_histogram(
-          Axis(k::kLatencyBuckets, k::kLatencyLowMs, k::kLatencyHighMs))) {}
-
-void LatencyHistogram::add(Ms ms) {
-  histogram_(static_cast<double>(std::max<Ms>(ms, 1)));
-  sum_ms_ += static_cast<double>(ms);
-}
-
-std::string LatencyHistogram::text(const std::string& name, const std::string& labels) const {
-  std::string out;
-  double seen = histogram_.at(-1);
-  const auto& axis = histogram_.axis(0);
-  for (int i = 0; i < axis.size(); ++i) {
-    seen += histogram_.at(i);
-    out += fmt::format("eiderreel_{}_bucket{{{},le=\"{:.4g}\"}} {}\n", name, labels,
-                       axis.bin(i).upper() / 1000, seen);
-  }
-  seen += histogram_.at(axis.size());
-  out += fmt::format(
-      "eiderreel_{0}_bucket{{{1},le=\"+Inf\"}} {2}\neiderreel_{0}_sum{{{1}}} {3}\n"
-      "eiderreel_{0}_count{{{1}}} {2}\n",
-      name, labels, seen, sum_ms_ / 1000);
-  return out;
-}
-
 std::string metrics_text(const Controller& controller) {
   Text t;
   const ClusterView& v = controller.state_store().view();
--- a/src/fleet/fleet_manager.cc
+++ b/src/fleet/fleet_manager.cc
@@ -5,6 +5,8 @@
 #include <cmath>
 #include <utility>
 
+#include "codec/cloud_json.h"
+
 namespace eiderreel {
 
 namespace k = constants;
--- a/src/fleet/fleet_manager.h
+++ b/src/fleet/fleet_manager.h
@@ -7,6 +7,7 @@
 #include <string>
 
 #include "cloud/cloud_client.h"
+#include "codec/cloud_json.h"
 #include "fleet/machine_assigner.h"
 #include "fleet/machine_provisioner.h"
 #include "leadership/partition_leader.h"
--- a/src/fleet/machine_provisioner.cc
+++ b/src/fleet/machine_provisioner.cc
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <cmath>
 
+#include "codec/cloud_json.h"
+
 namespace eiderreel {
 
 namespace k = constants;
--- a/src/fleet/machine_provisioner.h
+++ b/src/fleet/machine_provisioner.h
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "cloud/cloud_client.h"
+#include "model/machine.h"
 #include "state_store/state_store_client.h"
 
 namespace eiderreel {
--- a/src/leadership/job_persistence.cc
+++ b/src/leadership/job_persistence.cc
@@ -2,6 +2,7 @@
 // no more use.
 #include <spdlog/spdlog.h>
 
+#include "codec/job_json.h"
 #include "leadership/partition_leader.h"
 
 namespace eiderreel {
--- a/src/leadership/partition_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -2,6 +2,7 @@
 // written of them stands in owner_persistence.cc.
 #include <spdlog/spdlog.h>
 
+#include "codec/job_json.h"
 #include "leadership/partition_leader.h"
 
 namespace eiderreel {
--- a/src/leadership/partition_leader.cc
+++ b/src/leadership/partition_leader.cc
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include "codec/worker_json.h"
+
 namespace eiderreel {
 
 namespace k = constants;
--- a/src/leadership/progress_plan.h
+++ b/src/leadership/progress_plan.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "codec/json.h"
+#include "codec/state_json.h"
 #include "versioning/cluster_version.h"
 
 namespace eiderreel::upgrade {
--- /dev/null
+++ b/src/runtime/http_status.h
@@ -0,0 +1,23 @@
+// The HTTP status codes that the protocol uses, by name.
+#pragma once
+
+namespace eiderreel::http_status {
+
+inline constexpr int kNoAnswer = 0;  // the request may have been carried out, or still may be
+inline constexpr int kOk = 200;
+inline constexpr int kCreated = 201;
+inline constexpr int kBadRequest = 400;
+inline constexpr int kNotFound = 404;
+inline constexpr int kMethodNotAllowed = 405;
+inline constexpr int kConflict = 409;
+inline constexpr int kGone = 410;
+inline constexpr int kContentTooLarge = 413;
+inline constexpr int kMisdirectedRequest = 421;
+inline constexpr int kUnprocessable = 422;
+inline constexpr int kTooManyRequests = 429;
+inline constexpr int kServerError = 500;
+inline constexpr int kNotImplemented = 501;
+inline constexpr int kServiceUnavailable = 503;
+inline constexpr int kGatewayTimeout = 504;
+
+}  // namespace eiderreel::http_status
--- a/src/scheduler/dependency_graph.h
+++ b/src/scheduler/dependency_graph.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "model/types.h"
+#include "model/job.h"
 
 namespace eiderreel {
 
--- a/src/scheduler/partition_scheduler.h
+++ b/src/scheduler/partition_scheduler.h
@@ -13,7 +13,11 @@
 #include <utility>
 #include <vector>
 
-#include "model/types.h"
+#include "model/heartbeat.h"
+#include "model/job.h"
+#include "model/load.h"
+#include "model/machine.h"
+#include "model/team.h"
 
 namespace eiderreel {
 
@@ -39,26 +43,6 @@
   std::vector<Command> commands;
 };
 
-// What the partition lacks and what it has to spare, told to the cluster leader.
-struct PartitionLoad {
-  double waiting_cpus = 0;       // of tasks that could start now but for room
-  double waiting_spot_cpus = 0;  // that part of it that may use spot machines
-  double waiting_service_cpus = 0;
-  double waiting_core_s = 0;  // work of the waiting tasks by their submitters' estimates
-  double slack_s = 0;         // usual time between a job's estimate and its deadline; 0: unknown
-  double wait_s = 0;          // the shortest in which an array should start; 0: none stated
-  double used_cpus = 0, used_service_cpus = 0;
-  double total_cpus = 0, spot_cpus = 0;  // of all machines, of spot ones
-  // Of machines that hold nothing, and of those that have held nothing for so long that they may
-  // go back; ordinary and spot ones. Never by name: a partition may have hundreds.
-  double idle_cpus = 0, idle_spot_cpus = 0, releasable_cpus = 0, releasable_spot_cpus = 0;
-  std::uint32_t idle_machines = 0;
-  double waited_s = 0;  // the longest that a job of which nothing runs has waited
-  // Jobs bound to a zone or to types, and the CPUs that they lack there; room elsewhere is of no
-  // use to them. The first few in the order of the queue.
-  std::vector<std::pair<std::string, double>> unschedulable;
-};
-
 class PartitionScheduler {
  public:
   PartitionScheduler(int index, std::uint64_t fencing_token, Ms claimed_at, SchedulingPolicy limits,
--- a/src/state_store/rate_limiter.h
+++ b/src/state_store/rate_limiter.h
@@ -6,7 +6,7 @@
 
 #include "config/settings.h"
 #include "constants.h"
-#include "model/types.h"
+#include "model/load.h"
 
 namespace eiderreel {
 
--- a/src/state_store/replicated_view.h
+++ b/src/state_store/replicated_view.h
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "codec/json.h"
+#include "codec/state_json.h"
 #include "runtime/runtime.h"
 #include "scheduler/dependency_graph.h"
 #include "versioning/acting_version.h"
--- a/src/state_store/state_store_client.h
+++ b/src/state_store/state_store_client.h
@@ -8,7 +8,7 @@
 #include <set>
 #include <string>
 
-#include "codec/json.h"
+#include "codec/state_json.h"
 #include "config/settings.h"
 #include "runtime/runtime.h"
 #include "state_store/rate_limiter.h"
--- a/src/upgrade/http_routes.cc
+++ b/src/upgrade/http_routes.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "codec/json.h"
+#include "codec/job_json.h"
 #include "upgrade/upgrade_json.h"
 
 namespace eiderreel::upgrade {
--- a/src/upgrade/messages.h
+++ b/src/upgrade/messages.h
@@ -6,7 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "model/types.h"
+#include "constants.h"
+#include "model/load.h"
 #include "upgrade/step_plan.h"
 
 namespace eiderreel::upgrade {
--- a/tests/chains_test.cc
+++ b/tests/chains_test.cc
@@ -4,6 +4,7 @@
 
 #include <array>
 
+#include "controller/metrics.h"
 #include "standin/text.h"
 
 using namespace eiderreel;
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -3,7 +3,10 @@
 
 #include <random>
 
-#include "codec/json.h"
+#include "codec/cloud_json.h"
+#include "codec/job_json.h"
+#include "codec/state_json.h"
+#include "codec/worker_json.h"
 #include "peer_rpc/messages.h"
 
 using namespace eiderreel;
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -2,7 +2,7 @@
 // written now has in it all that that build reads.
 #include <gtest/gtest.h>
 
-#include "codec/json.h"
+#include "codec/state_json.h"
 #include "peer_rpc/messages.h"
 #include "standin/old_build.h"
 
--- a/tests/standin/checker.h
+++ b/tests/standin/checker.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "model/types.h"
+#include "model/job.h"
 
 namespace eiderreel::standin {
 
--- a/tests/standin/text.h
+++ b/tests/standin/text.h
@@ -6,7 +6,8 @@
 
 #include <string>
 
-#include "codec/json.h"
+#include "codec/job_json.h"
+#include "codec/state_json.h"
 
 namespace eiderreel::standin {
 
