--- a/src/codec/cloud_json.cc
+++ b/src/codec/cloud_json.cc
@@ -1,86 +1,88 @@
 // The catalog, the list of machines and rentals.
 #include "codec/cloud_json.h"
 
+#include <utility>
+
 #include "codec/json_fields.h"
+#include "codec/wire_names.h"
 
 namespace eiderreel::codec {
 
 using namespace fields;
 
-std::optional<std::vector<MachineType>> parse_catalog(const std::string& body) {
-  Doc d;
-  if (!parse(d, body)) return std::nullopt;
-  const Value* types = field(d, "hulls");
-  if (!types || !types->IsArray()) return std::nullopt;
-  std::vector<MachineType> out;
-  for (const auto& e : types->GetArray()) {
-    if (!e.IsObject()) return std::nullopt;
-    MachineType t;
-    if (!get(e, "name", t.name) || !get(e, "cores", t.cpus) || !get(e, "mem_gb", t.memory_gb))
-      return std::nullopt;
-    get(e, "accelerators", t.gpus);
-    get(e, "cache_gb", t.cache_gb);
-    get(e, "fetch_gb_per_s", t.fetch_gb_per_s);
-    get(e, "price", t.price);
-    get(e, "market_price", t.spot_price);
-    get(e, "ready_s", t.boot_s);
-    if (const Value* z = field(e, "berths"); z && z->IsArray())
-      for (const auto& n : z->GetArray())
-        if (n.IsString()) t.zones.emplace_back(n.GetString(), n.GetStringLength());
-    out.push_back(std::move(t));
-  }
-  return out;
+namespace {
+
+Decoded<MachineType> parse_type(const Value& object) {
+  FieldReader reader(object);
+  MachineType type;
+  reader.required(wire::cloud::kTypeName, type.name);
+  reader.required(wire::cloud::kCpus, type.cpus);
+  reader.required(wire::cloud::kMemoryGb, type.memory_gb);
+  reader.optional(wire::cloud::kGpus, type.gpus);
+  reader.optional(wire::cloud::kCacheGb, type.cache_gb);
+  reader.optional(wire::cloud::kFetchGbPerS, type.fetch_gb_per_s);
+  reader.optional(wire::cloud::kPrice, type.price);
+  reader.optional(wire::cloud::kSpotPrice, type.spot_price);
+  reader.optional(wire::cloud::kBootS, type.boot_s);
+  if (const Value* zones = field(object, wire::cloud::kZones)) type.zones = only_strings(*zones);
+  return reader.result(std::move(type));
+}
+
+Decoded<ListedMachine> parse_machine(const Value& object) {
+  FieldReader reader(object);
+  ListedMachine machine;
+  reader.required(wire::cloud::kMachineId, machine.id);
+  reader.optional(wire::cloud::kAddress, machine.addr);
+  reader.optional(wire::cloud::kMachineType, machine.type);
+  reader.optional(wire::cloud::kZone, machine.zone);
+  reader.optional(wire::cloud::kSpot, machine.spot);
+  reader.optional(wire::cloud::kPhase, machine.phase);
+  reader.optional(wire::cloud::kHeldS, machine.held_s);
+  return reader.result(std::move(machine));
 }
 
-std::optional<MachineList> parse_machines(const std::string& body) {
-  Doc d;
-  if (!parse(d, body)) return std::nullopt;
-  const Value* rows = field(d, "hosts");
-  MachineList out;
-  if (!rows || !rows->IsArray() || !get(d, "more", out.more)) return std::nullopt;
-  for (const auto& e : rows->GetArray()) {
-    ListedMachine m;
-    if (!e.IsObject() || !get(e, "name_id", m.id)) return std::nullopt;
-    get(e, "endpoint", m.addr);
-    get(e, "hull", m.type);
-    get(e, "berth", m.zone);
-    get(e, "driftwood", m.spot);
-    get(e, "phase", m.phase);
-    get(e, "held_s", m.held_s);
-    out.machines.push_back(std::move(m));
-  }
-  return out;
+}  // namespace
+
+Decoded<std::vector<MachineType>> parse_catalog(const std::string& body) {
+  const auto document = parse_object(body);
+  if (!document) return tl::unexpected(document.error());
+  return parse_objects(*document, wire::cloud::kMachineTypes, parse_type);
+}
+
+Decoded<MachineList> parse_machines(const std::string& body) {
+  const auto document = parse_object(body);
+  if (!document) return tl::unexpected(document.error());
+  auto machines = parse_objects(*document, wire::cloud::kMachines, parse_machine);
+  if (!machines) return tl::unexpected(machines.error());
+  MachineList list;
+  list.machines = std::move(*machines);
+  FieldReader reader(*document);
+  reader.required(wire::cloud::kMore, list.more);
+  return reader.result(std::move(list));
 }
 
-std::optional<std::vector<std::string>> parse_provisioned(const std::string& body) {
-  Doc d;
-  if (!parse(d, body)) return std::nullopt;
-  const Value* rows = field(d, "hosts");
-  if (!rows || !rows->IsArray()) return std::nullopt;
-  std::vector<std::string> out;
-  for (const auto& e : rows->GetArray())
-    if (e.IsString()) out.emplace_back(e.GetString(), e.GetStringLength());
-  return out;
+Decoded<std::vector<std::string>> parse_provisioned(const std::string& body) {
+  const auto document = parse_object(body);
+  if (!document) return tl::unexpected(document.error());
+  const Value* machines = field(*document, wire::cloud::kMachines);
+  if (machines == nullptr || !machines->IsArray())
+    return field_error(DecodeFault::missing_or_invalid, wire::cloud::kMachines);
+  return only_strings(*machines);
 }
 
-std::string scale_out_body(const std::string& charter, const std::string& type,
+std::string scale_out_body(const std::string& request_id, const std::string& type,
                            const std::string& zone, bool spot, int count) {
-  return object([&](Writer& w) {
-    put(w, "charter", charter);
-    put(w, "hull", type);
-    put(w, "berth", zone);
-    put(w, "driftwood", spot);
-    put(w, "how_many", count);
+  return object([&](Writer& writer) {
+    put(writer, wire::cloud::kRequestId, request_id);
+    put(writer, wire::cloud::kMachineType, type);
+    put(writer, wire::cloud::kZone, zone);
+    put(writer, wire::cloud::kSpot, spot);
+    put(writer, wire::cloud::kCount, count);
   });
 }
 
 std::string scale_in_body(const std::vector<std::string>& machines) {
-  return object([&](Writer& w) {
-    w.Key("hosts");
-    w.StartArray();
-    for (const auto& m : machines) w.String(m.data(), static_cast<rapidjson::SizeType>(m.size()));
-    w.EndArray();
-  });
+  return object([&](Writer& writer) { put_strings(writer, wire::cloud::kMachines, machines); });
 }
 
 }  // namespace eiderreel::codec
--- a/src/codec/cloud_json.h
+++ b/src/codec/cloud_json.h
@@ -1,27 +1,41 @@
-// The cloud's catalog, its list of machines, and requests to scale out and in, in JSON.
+// The cloud's catalog, its list of machines, and requests to scale out and in, in JSON; section
+// "Controller nodes -> cloud" of the protocol.
 #pragma once
-#include <optional>
 #include <string>
 #include <vector>
 
+#include "codec/decode_error.h"
 #include "model/machine.h"
 
 namespace eiderreel::codec {
 
+/// A machine as the cloud lists it. The list may be behind by a minute and more.
 struct ListedMachine {
-  std::string id, addr, type, zone, phase;
+  std::string id;
+  std::string addr;  // IP:PORT of its worker
+  std::string type;
+  std::string zone;
+  std::string phase;  // starting, running or failed
   bool spot = false;
-  double held_s = 0;
+  double held_s = 0;  // since the request that rented it
 };
+
+/// A page of the list.
 struct MachineList {
   std::vector<ListedMachine> machines;
-  bool more = false;
+  bool more = false;  // further pages follow
 };
-std::optional<std::vector<MachineType>> parse_catalog(const std::string& body);
-std::optional<MachineList> parse_machines(const std::string& body);
-std::optional<std::vector<std::string>> parse_provisioned(const std::string& body);
-std::string scale_out_body(const std::string& charter, const std::string& type,
+
+/// The answer to "GET /catalog".
+Decoded<std::vector<MachineType>> parse_catalog(const std::string& body);
+/// The answer to "GET /machines".
+Decoded<MachineList> parse_machines(const std::string& body);
+/// The answer to "POST /machines": the ids of the machines that were rented.
+Decoded<std::vector<std::string>> parse_provisioned(const std::string& body);
+/// The body of "POST /machines". A request id must never be used twice.
+std::string scale_out_body(const std::string& request_id, const std::string& type,
                            const std::string& zone, bool spot, int count);
+/// The body of "POST /machines/return".
 std::string scale_in_body(const std::vector<std::string>& machines);
 
 }  // namespace eiderreel::codec
--- a/src/codec/json_fields.h
+++ b/src/codec/json_fields.h
@@ -4,13 +4,15 @@
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
-#include <cmath>
+#include <array>
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
-#include "model/job.h"
+#include "codec/decode_error.h"
 
 namespace eiderreel::codec::fields {
 
@@ -19,82 +21,145 @@
 using Buffer = rapidjson::StringBuffer;
 using Writer = rapidjson::Writer<Buffer>;
 
+/// Iterative, since a recursive parser's stack would overflow on deeply nested input.
 constexpr unsigned kFlags = rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag;
-constexpr double kAmountMax = 1e9;  // above any machine or duration: absurd
+/// The largest amount or duration in seconds that is accepted; no real one comes near.
+constexpr double kAmountMax = 1e9;
 
-inline bool parse(Doc& d, const std::string& body) {
-  d.Parse<kFlags>(body.data(), body.size());
-  return !d.HasParseError() && d.IsObject();
-}
+/// Parses a body; false: it is not a JSON object.
+bool parse(Doc& document, const std::string& body);
+/// Parses a body that has to be a JSON object.
+Decoded<Doc> parse_object(const std::string& body);
 
-inline const Value* field(const Value& v, const char* name) {
-  auto it = v.FindMember(name);
-  return it == v.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
-}
+/// The field of an object; null: it is missing or null, which the protocol takes for the same.
+const Value* field(const Value& object, const char* name);
 
-inline bool get(const Value& v, const char* name, std::string& out) {
-  const Value* f = field(v, name);
-  if (!f || !f->IsString()) return false;
-  out.assign(f->GetString(), f->GetStringLength());
-  return true;
-}
-inline bool get(const Value& v, const char* name, bool& out) {
-  const Value* f = field(v, name);
-  if (!f || !f->IsBool()) return false;
-  out = f->GetBool();
-  return true;
-}
-inline bool get(const Value& v, const char* name, double& out) {
-  const Value* f = field(v, name);
-  if (!f || !f->IsNumber()) return false;
-  out = f->GetDouble();
-  return std::isfinite(out);
+/// Reads a field; false: it is missing or of another type, and `out` is as it was.
+bool get(const Value& object, const char* name, std::string& out);
+bool get(const Value& object, const char* name, bool& out);
+bool get(const Value& object, const char* name, double& out);
+bool get(const Value& object, const char* name, std::uint64_t& out);
+bool get(const Value& object, const char* name, int& out);
+
+/// The text of a JSON string, which may hold zero bytes.
+std::string text_of(const Value& string);
+/// The strings of a list; nothing: it is no list, or holds something else too.
+std::optional<std::vector<std::string>> all_strings(const Value& list);
+/// The strings of a list, without what else it holds; empty: it is no list.
+std::vector<std::string> only_strings(const Value& list);
+
+/// The value of an enumeration whose names stand in its order.
+template <class Enum, std::size_t Count>
+std::optional<Enum> named(const std::string& name, const std::array<const char*, Count>& names) {
+  for (std::size_t i = 0; i < Count; ++i)
+    if (name == names[i]) return static_cast<Enum>(i);
+  return std::nullopt;
 }
-inline bool get(const Value& v, const char* name, std::uint64_t& out) {
-  const Value* f = field(v, name);
-  if (!f || !f->IsUint64()) return false;
-  out = f->GetUint64();
-  return true;
+/// The name of a value of such an enumeration.
+template <class Enum, std::size_t Count>
+std::string name_of(Enum value, const std::array<const char*, Count>& names) {
+  return names.at(static_cast<std::size_t>(value));
 }
 
-template <class F>
-std::string object(F&& fill) {
-  Buffer b;
-  Writer w(b);
-  w.StartObject();
-  fill(w);
-  w.EndObject();
-  return {b.GetString(), b.GetSize()};
-}
-inline void put(Writer& w, const char* k, const std::string& v) {
-  w.Key(k);
-  w.String(v.data(), static_cast<rapidjson::SizeType>(v.size()));
+/// Reads the fields of one object, one call for each, and keeps the first fault. After a fault,
+/// further calls do nothing.
+class FieldReader {
+ public:
+  explicit FieldReader(const Value& object) : object_(object) {}
+
+  /// Whether the field is there and not null.
+  bool has(const char* name) const { return field(object_, name) != nullptr; }
+
+  /// A field that has to be there.
+  template <class T>
+  void required(const char* name, T& out) {
+    if (!error_) check(name, get(object_, name, out));
+  }
+
+  /// A field that has to be there, with the name of a value of an enumeration.
+  template <class Enum, std::size_t Count>
+  void required(const char* name, const std::array<const char*, Count>& names, Enum& out) {
+    std::string text;
+    required(name, text);
+    const auto value = named<Enum>(text, names);
+    check(name, value.has_value());
+    if (value) out = *value;
+  }
+
+  /// A field that is ignored where it is missing or of another type.
+  template <class T>
+  void optional(const char* name, T& out) {
+    get(object_, name, out);
+  }
+
+  /// A condition on a field that was read.
+  void check(const char* name, bool valid) {
+    if (!error_ && !valid) error_ = DecodeError{DecodeFault::missing_or_invalid, name, ""};
+  }
+
+  /// The value that was read from the fields, or the first fault.
+  template <class T>
+  Decoded<T> result(T value) const {
+    if (error_) return tl::unexpected(*error_);
+    return value;
+  }
+
+ private:
+  const Value& object_;
+  std::optional<DecodeError> error_;
+};
+
+/// A list of objects, each read by `parse_one`; one that it refuses makes the whole list invalid.
+template <class T>
+Decoded<std::vector<T>> parse_objects(const Value& object, const char* name,
+                                      Decoded<T> (*parse_one)(const Value&)) {
+  const Value* list = field(object, name);
+  if (list == nullptr || !list->IsArray())
+    return field_error(DecodeFault::missing_or_invalid, name);
+  std::vector<T> elements;
+  for (const auto& element : list->GetArray()) {
+    if (!element.IsObject()) return field_error(DecodeFault::not_an_object, name);
+    auto parsed = parse_one(element);
+    if (!parsed) return tl::unexpected(parsed.error());
+    elements.push_back(std::move(*parsed));
+  }
+  return elements;
 }
-inline void put(Writer& w, const char* k, bool v) { w.Key(k), w.Bool(v); }
-inline void put(Writer& w, const char* k, double v) { w.Key(k), w.Double(v); }
-inline void put(Writer& w, const char* k, std::uint64_t v) { w.Key(k), w.Uint64(v); }
-inline void put(Writer& w, const char* k, int v) { w.Key(k), w.Int(v); }
-
-// The value of an enumeration whose names stand in its order.
-template <class E, std::size_t N>
-std::optional<E> named(const std::string& s, const char* const (&names)[N]) {
-  for (std::size_t i = 0; i < N; ++i)
-    if (s == names[i]) return static_cast<E>(i);
-  return std::nullopt;
+
+/// The text of an object with the fields that `fill` writes.
+template <class Fill>
+std::string object(const Fill& fill) {
+  Buffer buffer;
+  Writer writer(buffer);
+  writer.StartObject();
+  fill(writer);
+  writer.EndObject();
+  return {buffer.GetString(), buffer.GetSize()};
 }
 
-inline constexpr const char* kJobPhases[] = {"queued", "running", "done", "cancelled"};
+/// Writes a field.
+void put(Writer& writer, const char* name, const std::string& value);
+void put(Writer& writer, const char* name, bool value);
+void put(Writer& writer, const char* name, double value);
+void put(Writer& writer, const char* name, std::uint64_t value);
+void put(Writer& writer, const char* name, int value);
+/// Writes a field whose value is JSON text already.
+void put_raw(Writer& writer, const char* name, const std::string& json);
+/// Writes a field with a list of strings.
+void put_strings(Writer& writer, const char* name, const std::vector<std::string>& strings);
 
-inline bool starts_with(const std::string& s, const char* prefix) {
-  return s.rfind(prefix, 0) == 0;
+/// Writes a field with a list of objects, each with the fields that `fill` writes of an element.
+template <class Element, class Fill>
+void put_objects(Writer& writer, const char* name, const std::vector<Element>& elements,
+                 const Fill& fill) {
+  writer.Key(name);
+  writer.StartArray();
+  for (const auto& element : elements) {
+    writer.StartObject();
+    fill(element);
+    writer.EndObject();
+  }
+  writer.EndArray();
 }
 
-// The job in the form in which users submit it; its record in the state store has the same.
-// The name of the first field that is missing or invalid; empty: none is.
-std::string parse_spec(const Value& d, JobSpec& j);
-// A list of job ids, each taken once; false: it is none. Missing or null, it is empty.
-bool parse_job_ids(const Value& d, const char* name, std::vector<std::string>& out);
-void put_job_ids(Writer& w, const char* name, const std::vector<std::string>& ids);
-void put_spec(Writer& w, const JobSpec& j);
-
 }  // namespace eiderreel::codec::fields
--- a/src/codec/worker_json.cc
+++ b/src/codec/worker_json.cc
@@ -1,7 +1,11 @@
 // Heartbeats of workers, and the commands for them.
 #include "codec/worker_json.h"
 
+#include <cstddef>
+#include <utility>
+
 #include "codec/json_fields.h"
+#include "codec/wire_names.h"
 
 namespace eiderreel::codec {
 
@@ -9,90 +13,93 @@
 
 namespace {
 
-const char* const kTaskPhases[] = {"pulling", "running", "flushing", "exited"};
-const char* const kExitReasons[] = {"", "done", "stopped", "error", "no_room", "busy", "no_such"};
-const char* const kVerbs[] = {"launch", "kill", "clear"};
+constexpr std::size_t kIndexDigitsMax = 7;  // more than any index of a task has
 
 std::string task_name(const std::string& job, std::uint32_t index) {
   return job + "/" + std::to_string(index);
 }
 
-bool parse_task_name(const std::string& s, std::string& job, std::uint32_t& index) {
-  auto slash = s.rfind('/');
-  if (slash == std::string::npos || slash + 1 >= s.size() || s.size() - slash > 8) return false;
-  index = 0;
-  for (std::size_t i = slash + 1; i < s.size(); ++i) {
-    if (s[i] < '0' || s[i] > '9') return false;
-    index = index * 10 + static_cast<std::uint32_t>(s[i] - '0');
-  }
-  job = s.substr(0, slash);
+// The opposite of task_name; false: the name has not this form.
+bool parse_task_name(const std::string& name, TaskStatus& task) {
+  const auto slash = name.rfind('/');
+  if (slash == std::string::npos) return false;
+  const std::string digits = name.substr(slash + 1);
+  if (digits.empty() || digits.size() > kIndexDigitsMax) return false;
+  if (digits.find_first_not_of("0123456789") != std::string::npos) return false;
+  task.job = name.substr(0, slash);
+  task.index = static_cast<std::uint32_t>(std::stoul(digits));
   return true;
 }
 
-void put_orders(Writer& w, const std::vector<Command>& commands) {
-  w.Key("orders");
-  w.StartArray();
-  for (const auto& o : commands) {
-    w.StartObject();
-    put(w, "verb", std::string(kVerbs[static_cast<int>(o.type)]));
-    put(w, "shard", task_name(o.job, o.index));
-    put(w, "try", o.attempt);
-    if (o.type == CommandType::kill) put(w, "mercy_s", o.grace_s);
-    w.EndObject();
-  }
-  w.EndArray();
+Decoded<TaskStatus> parse_task(const Value& object) {
+  FieldReader reader(object);
+  TaskStatus task;
+  std::string name;
+  std::string phase;
+  std::string exit_reason;
+  reader.required(wire::worker::kTask, name);
+  reader.check(wire::worker::kTask, parse_task_name(name, task));
+  reader.required(wire::worker::kAttempt, task.attempt);
+  reader.required(wire::worker::kPhase, phase);
+  // An unknown phase of a task on the machine counts as running: it holds its room.
+  task.phase = named<TaskPhase>(phase, wire::worker::kPhases).value_or(TaskPhase::running);
+  if (get(object, wire::worker::kExitReason, exit_reason))
+    task.exit_reason =
+        named<ExitReason>(exit_reason, wire::worker::kExitReasons).value_or(ExitReason::error);
+  return reader.result(std::move(task));
+}
+
+void put_commands(Writer& writer, const std::vector<Command>& commands) {
+  put_objects(writer, wire::worker::kCommands, commands, [&](const Command& command) {
+    put(writer, wire::worker::kCommandType, name_of(command.type, wire::worker::kCommandTypes));
+    put(writer, wire::worker::kTask, task_name(command.job, command.index));
+    put(writer, wire::worker::kAttempt, command.attempt);
+    if (command.type == CommandType::kill) put(writer, wire::worker::kGraceS, command.grace_s);
+  });
 }
 
 }  // namespace
 
-std::optional<Heartbeat> parse_heartbeat(const std::string& body) {
-  Doc d;
-  if (!parse(d, body)) return std::nullopt;
-  Heartbeat r;
-  if (!get(d, "host", r.machine) || !get(d, "endpoint", r.addr) || !get(d, "hull", r.type) ||
-      !get(d, "berth", r.zone) || !get(d, "driftwood", r.spot) ||
-      !get(d, "tenure", r.incarnation) || !get(d, "tick", r.sequence) ||
-      !get(d, "epoch", r.fencing_token))
-    return std::nullopt;
-  double notice = 0;
-  if (get(d, "warning_s", notice)) r.notice_s = notice;
-  const Value* tasks = field(d, "shards");
-  if (!tasks || !tasks->IsArray()) return std::nullopt;
-  for (const auto& e : tasks->GetArray()) {
-    if (!e.IsObject()) return std::nullopt;
-    TaskStatus t;
-    std::string name, phase, exit_reason;
-    if (!get(e, "shard", name) || !parse_task_name(name, t.job, t.index) ||
-        !get(e, "try", t.attempt) || !get(e, "phase", phase))
-      return std::nullopt;
-    // An unknown phase of a task on the machine counts as running: it holds its room.
-    t.phase = named<TaskPhase>(phase, kTaskPhases).value_or(TaskPhase::running);
-    if (get(e, "cause", exit_reason))
-      t.exit_reason = named<ExitReason>(exit_reason, kExitReasons).value_or(ExitReason::error);
-    r.tasks.push_back(std::move(t));
-  }
-  return r;
+Decoded<Heartbeat> parse_heartbeat(const std::string& body) {
+  const auto document = parse_object(body);
+  if (!document) return tl::unexpected(document.error());
+  FieldReader reader(*document);
+  Heartbeat heartbeat;
+  reader.required(wire::worker::kMachine, heartbeat.machine);
+  reader.required(wire::worker::kAddress, heartbeat.addr);
+  reader.required(wire::worker::kMachineType, heartbeat.type);
+  reader.required(wire::worker::kZone, heartbeat.zone);
+  reader.required(wire::worker::kSpot, heartbeat.spot);
+  reader.required(wire::worker::kIncarnation, heartbeat.incarnation);
+  reader.required(wire::worker::kSequence, heartbeat.sequence);
+  reader.required(wire::worker::kFencingToken, heartbeat.fencing_token);
+  double notice_s = 0;
+  if (get(*document, wire::worker::kNoticeS, notice_s)) heartbeat.notice_s = notice_s;
+  auto tasks = parse_objects(*document, wire::worker::kTasks, parse_task);
+  if (!tasks) return tl::unexpected(tasks.error());
+  heartbeat.tasks = std::move(*tasks);
+  return reader.result(std::move(heartbeat));
 }
 
 std::string heartbeat_reply_body(std::uint64_t fencing_token,
                                  const std::vector<Command>& commands) {
-  return object([&](Writer& w) {
-    put(w, "epoch", fencing_token);
-    put_orders(w, commands);
+  return object([&](Writer& writer) {
+    put(writer, wire::worker::kFencingToken, fencing_token);
+    put_commands(writer, commands);
   });
 }
 
 std::string commands_body(std::uint64_t fencing_token, std::uint64_t incarnation,
                           const std::vector<Command>& commands) {
-  return object([&](Writer& w) {
-    put(w, "epoch", fencing_token);
-    put(w, "tenure", incarnation);
-    put_orders(w, commands);
+  return object([&](Writer& writer) {
+    put(writer, wire::worker::kFencingToken, fencing_token);
+    put(writer, wire::worker::kIncarnation, incarnation);
+    put_commands(writer, commands);
   });
 }
 
 std::string upstream_body(const std::string& node) {
-  return object([&](Writer& w) { put(w, "upstream", node); });
+  return object([&](Writer& writer) { put(writer, wire::worker::kRedirect, node); });
 }
 
 }  // namespace eiderreel::codec
--- a/src/fleet/fleet_manager.cc
+++ b/src/fleet/fleet_manager.cc
@@ -33,7 +33,7 @@
   cloud_.call({"", "GET", "/catalog", "", 0}, [this](HttpReply r) {
     catalog_asked_ = false;
     catalog_at_ = runtime_.now();
-    auto types = r.status == 200 ? codec::parse_catalog(r.body) : std::nullopt;
+    auto types = r.status == 200 ? codec::parse_catalog(r.body) : codec::status_error(r.status);
     if (!types) return;
     types_ = *types;
     assigner_.types_known(types_);
@@ -274,7 +274,7 @@
       runtime_.after(k::kRetryMs, [this, since] { list_machines(since); });
       return;
     }
-    auto page = r.status == 200 ? codec::parse_machines(r.body) : std::nullopt;
+    auto page = r.status == 200 ? codec::parse_machines(r.body) : codec::status_error(r.status);
     if (!page) {
       listing_ = false;
       listed_at_ = runtime_.now();
--- a/src/state_store/compare_and_swap.cc
+++ b/src/state_store/compare_and_swap.cc
@@ -54,7 +54,7 @@
                                      const std::optional<codec::Precondition>& guard,
                                      const HttpReply& r) {
   if (r.status == 200) {
-    const auto store_revision = codec::parse_number(r.body, "ledger").value_or(0);
+    const auto store_revision = codec::parse_store_revision(r.body).value_or(0);
     replica_.apply_commit(c->writes, store_revision);
     c->done(CasOutcome::ok, store_revision);
   } else if (r.status == 409) {
@@ -62,7 +62,7 @@
       return version_changed(c, tries, guard->revision);
     // Invariant 8: an earlier try of ours may be what the preconditions met.
     if (c->doubt)
-      read_back(c, codec::parse_number(r.body, "ledger").value_or(0), k::kCommitTries);
+      read_back(c, codec::parse_store_revision(r.body).value_or(0), k::kCommitTries);
     else
       c->done(CasOutcome::conflict, 0);
   } else if (in_doubt(r.status) || c->doubt) {
--- a/src/state_store/reads.cc
+++ b/src/state_store/reads.cc
@@ -21,7 +21,7 @@
               none.key = key;
               done(none);
             } else {
-              done(r.status == 200 ? codec::parse_row(r.body) : std::nullopt);
+              done(r.status == 200 ? codec::optional_of(codec::parse_row(r.body)) : std::nullopt);
             }
           }});
 }
@@ -42,7 +42,7 @@
           RequestPriority::urgent,
           0,
           [this, prefix, rows, done = std::move(done)](HttpReply r) {
-            auto page = r.status == 200 ? codec::parse_list(r.body) : std::nullopt;
+            auto page = r.status == 200 ? codec::parse_list(r.body) : codec::status_error(r.status);
             if (!page) {
               done(std::nullopt);
               return;
@@ -89,7 +89,7 @@
           RequestPriority::user,
           0,
           [this, ids, done = std::move(done)](HttpReply r) {
-            auto page = r.status == 200 ? codec::parse_list(r.body) : std::nullopt;
+            auto page = r.status == 200 ? codec::parse_list(r.body) : codec::status_error(r.status);
             if (!page) return done(false);
             std::set<std::string> asked(ids->begin(), ids->end());
             for (const auto& row : page->rows)
@@ -145,7 +145,7 @@
        request_priority,
        0,
        [done = std::move(done)](HttpReply r) {
-         const auto store_revision = codec::parse_number(r.body, "ledger");
+         const auto store_revision = codec::parse_store_revision(r.body);
          if ((r.status != 200 && r.status != 409) || !store_revision) return done(std::nullopt);
          done(Comparison{r.status == 409 ? codec::parse_failed(r.body) : std::vector<std::string>{},
                          *store_revision});
--- a/src/state_store/state_store_client.cc
+++ b/src/state_store/state_store_client.cc
@@ -182,7 +182,8 @@
           RequestPriority::urgent,
           0,
           [this, sent](HttpReply r) {
-            auto id = r.status == 200 ? codec::parse_number(r.body, "tether") : std::nullopt;
+            auto id =
+                r.status == 200 ? codec::parse_lease_id(r.body) : codec::status_error(r.status);
             if (id) {
               lease_id_ = *id;
               last_renewal_ = sent;
@@ -246,7 +247,7 @@
           RequestPriority::urgent,
           0,
           [=, this](HttpReply r) {
-            auto page = r.status == 200 ? codec::parse_list(r.body) : std::nullopt;
+            auto page = r.status == 200 ? codec::parse_list(r.body) : codec::status_error(r.status);
             if (!page) {
               runtime_.after(k::kRetryMs, [=, this] { load(prefix, since); });
               return;
@@ -279,7 +280,8 @@
               begin_watch();
               return;
             }
-            auto events = r.status == 200 ? codec::parse_events(r.body) : std::nullopt;
+            auto events =
+                r.status == 200 ? codec::parse_events(r.body) : codec::status_error(r.status);
             if (!events) {
               runtime_.after(k::kRetryMs, [this] { watch(k::kWatchWaitMs); });
               return;
