--- a/src/peer_rpc/peer_messages.capnp
+++ b/src/peer_rpc/peer_messages.capnp
@@ -34,7 +34,7 @@
   body @2 :Text;                          # JSON
 }
 
-struct PeerStatus {                       # sent at a steady pace; news of load for the cluster leader
+struct PeerStatus {                       # sent at a steady pace; load, for the cluster leader
   partitions @0 :List(PartitionLoad);     # those that the sender leads
   requests @1 :Float64;                   # to the state store, per second, that the sender takes
   changes @2 :Float64;                    # in the state store, per second, that the sender takes
