--- /dev/null
+++ b/src/scheduler/draining.cc
@@ -0,0 +1,65 @@
+// Cordoned and drained machines.
+#include "scheduler/draining.h"
+
+#include <algorithm>
+#include <tuple>
+#include <vector>
+
+#include "constants.h"
+#include "model/heartbeat.h"
+#include "scheduler/scheduled_job.h"
+#include "scheduler/scheduled_machine.h"
+#include "scheduler/task_commands.h"
+
+namespace eiderreel {
+
+void Draining::cordon(double cpus, bool drain, Ms now) {
+  std::vector<ScheduledMachine*> candidates;
+  for (const auto& [id, machine] : machines_)
+    if (machine->reconciled && machine->heartbeat_received && !machine->lease_expired &&
+        !machine->transferring && machine->type && (drain || machine->service_cpus == 0))
+      candidates.push_back(machine.get());
+  // Those that run empty already first, then the emptiest; to be drained, the soonest empty.
+  const auto key = [now, drain](const ScheduledMachine* machine) {
+    return std::tuple((drain ? machine->drain_until : machine->cordoned_until) < now,
+                      drain ? std::max(now, machine->arrays_end()) : 0, machine->service_cpus,
+                      machine->taken.cpus, machine->id);
+  };
+  std::sort(candidates.begin(), candidates.end(),
+            [&](const ScheduledMachine* a, const ScheduledMachine* b) { return key(a) < key(b); });
+  for (ScheduledMachine* machine : candidates) {
+    if (machine->type->cpus > cpus) continue;
+    cpus -= machine->type->cpus;
+    machine->cordoned_until = now + constants::kCordonMs;
+    if (drain) machine->drain_until = machine->cordoned_until;
+  }
+}
+
+// The replica starts on the other machine once it is seen to be gone here. One at a time, so that a
+// service of several is never down.
+void Draining::move_service(ScheduledMachine& machine, const UnreconciledMachines& unreconciled,
+                            Ms now, std::vector<Command>& out) const {
+  if (machine.drain_until <= now || !machine.schedulable(now)) return;
+  const bool moving =
+      std::any_of(machine.tasks.begin(), machine.tasks.end(),
+                  [](const auto& entry) { return entry.second.stop_grace_s.has_value(); });
+  if (moving) return;
+  for (auto& [key, task] : machine.tasks) {
+    if (!task.service || !task.job || task.job->finalizing ||
+        !fits_elsewhere(machine, *task.job, unreconciled, now))
+      continue;
+    stop_task(key, task, out);
+    return;
+  }
+}
+
+bool Draining::fits_elsewhere(const ScheduledMachine& machine, const ScheduledJob& job,
+                              const UnreconciledMachines& unreconciled, Ms now) const {
+  return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
+    const ScheduledMachine& other = *entry.second;
+    return &other != &machine && other.accepts_tasks(now) && other.images.contains(job.image) &&
+           rules_.fits(other, job, unreconciled);
+  });
+}
+
+}  // namespace eiderreel
--- /dev/null
+++ b/src/scheduler/resources.h
@@ -0,0 +1,39 @@
+// Amounts of CPUs, GPUs and memory.
+#pragma once
+#include "model/job.h"
+#include "model/machine.h"
+
+namespace eiderreel {
+
+/// Sums of sizes carry rounding errors; differences below this one count as none.
+constexpr double kRounding = 1e-9;
+
+/// An amount of each resource that tasks take of their machines.
+struct Resources {
+  double cpus = 0;
+  double gpus = 0;
+  double memory_gb = 0;
+
+  /// What a task of the job takes.
+  static Resources of(const JobSpec& spec) {
+    return {.cpus = spec.cpus, .gpus = spec.gpus, .memory_gb = spec.memory_gb};
+  }
+  /// What an empty machine of the type offers.
+  static Resources of(const MachineType& type) {
+    return {.cpus = type.cpus, .gpus = type.gpus, .memory_gb = type.memory_gb};
+  }
+  Resources& operator+=(const Resources& other) {
+    cpus += other.cpus;
+    gpus += other.gpus;
+    memory_gb += other.memory_gb;
+    return *this;
+  }
+  Resources& operator-=(const Resources& other) {
+    cpus -= other.cpus;
+    gpus -= other.gpus;
+    memory_gb -= other.memory_gb;
+    return *this;
+  }
+};
+
+}  // namespace eiderreel
--- /dev/null
+++ b/src/scheduler/scheduled_job.cc
@@ -0,0 +1,79 @@
+// A job in its partition's queue: its tasks and its target times.
+#include "scheduler/scheduled_job.h"
+
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <vector>
+
+#include "constants.h"
+#include "model/team.h"
+#include "scheduler/scheduling_policy.h"
+
+namespace eiderreel {
+
+void ScheduledJob::restore_done(const std::vector<std::uint32_t>& indexes) {
+  for (const std::uint32_t index : indexes) {
+    if (index >= spec.tasks || tasks[index] != TaskState::queued) continue;
+    tasks[index] = TaskState::recorded;
+    --queued;
+    ++done;
+  }
+}
+
+void ScheduledJob::set_done(std::uint32_t index) {
+  if (tasks[index] >= TaskState::done) return;
+  if (tasks[index] == TaskState::queued) --queued;
+  tasks[index] = TaskState::done;
+  ++done;
+  ++unrecorded;
+}
+
+void ScheduledJob::set_recorded(const std::vector<std::uint32_t>& indexes) {
+  for (const std::uint32_t index : indexes) {
+    if (tasks[index] != TaskState::done) continue;
+    tasks[index] = TaskState::recorded;
+    --unrecorded;
+  }
+}
+
+std::uint32_t ScheduledJob::next_queued() {
+  while (tasks[first_queued] != TaskState::queued) ++first_queued;
+  return first_queued;
+}
+
+void ScheduledJob::set_target_times(const SchedulingPolicy& policy) {
+  target_times.clear();
+  const double deadline_s = spec.deadline_s.value_or(0);
+  const auto add = [this](Ms from, double seconds) {
+    if (seconds > 0) target_times.push_back(from + static_cast<Ms>(seconds * 1000));
+  };
+  const auto objectives = policy.completion_objectives.find(spec.jobclass);
+  if (objectives != policy.completion_objectives.end())
+    for (const CompletionObjective& objective : objectives->second) {
+      if (objective.times > 0)
+        add(submitted, objective.times * deadline_s);
+      else
+        add(ready, objective.within_s);
+    }
+  if (target_times.empty()) add(submitted, deadline_s);
+  if (finish_by) target_times.push_back(*finish_by);
+  std::sort(target_times.begin(), target_times.end());
+}
+
+void ScheduledJob::update_urgency(Ms now) {
+  const Ms run = static_cast<Ms>(spec.estimate_s * 1000) + constants::kStartAllowanceMs;
+  missed_objectives = 0;
+  // Whatever its objectives, and however many others are more urgent, a job begins in time.
+  starved = !has_started && now - ready >= constants::kStarvedMs;
+  latest_start = ready + constants::kUnboundedMs;
+  if (target_times.empty()) return;
+  std::size_t missed = 0;
+  while (missed < target_times.size() && now + run > target_times[missed]) ++missed;
+  missed_objectives = static_cast<int>(missed);
+  latest_start = missed < target_times.size() ? target_times[missed] - run : ready;
+  const Ms span = target_times.back() - submitted;
+  if (span > 0 && now - submitted > constants::kPatienceTargets * span) missed_objectives = 0;
+}
+
+}  // namespace eiderreel
--- /dev/null
+++ b/src/scheduler/task_bindings.cc
@@ -0,0 +1,92 @@
+// Keeps machines, jobs, teams and totals in step.
+#include "scheduler/task_bindings.h"
+
+#include <algorithm>
+#include <cstdint>
+
+#include "constants.h"
+#include "model/heartbeat.h"
+#include "scheduler/resources.h"
+#include "scheduler/scheduled_job.h"
+#include "scheduler/scheduled_machine.h"
+
+namespace eiderreel {
+
+BoundTask& TaskBindings::bind(ScheduledMachine& machine, ScheduledJob& job, std::uint32_t index,
+                              std::uint64_t attempt, TaskPhase phase, Ms now) {
+  BoundTask& task = machine.tasks[{job.spec.id, index}];
+  task = {};
+  task.job = &job;
+  task.attempt = attempt;
+  task.phase = phase;
+  task.size = Resources::of(job.spec);
+  task.team = job.team;
+  task.service = job.is_service();
+  task.ends = now + static_cast<Ms>(job.spec.estimate_s * 1000);
+  totals_.add_free(machine, -task.size.cpus);
+  machine.taken += task.size;
+  if (task.service) {
+    machine.service_cpus += task.size.cpus;
+    machine.service_size = std::max(machine.service_size, task.size.cpus);
+  }
+  // From now on it has the image or fetches it, so whoever needs it too is best sent here.
+  machine.images.insert(job.image);
+  teams_.take(job.team, task.size);
+  if (job.tasks[index] == TaskState::queued) {
+    job.tasks[index] = TaskState::bound;
+    --job.queued;
+  }
+  ++job.bound;
+  job.has_started = true;
+  if (phase == TaskPhase::running) ++job.running;
+  ++job.zones[machine.zone];
+  return task;
+}
+
+BoundTask& TaskBindings::bind_orphan(ScheduledMachine& machine, const TaskStatus& status,
+                                     const ScheduledJob* job, Ms now) {
+  BoundTask& task = machine.tasks[{status.job, status.index}];
+  task = {};
+  task.attempt = status.attempt;
+  task.phase = status.phase;
+  task.seen = true;
+  task.ends = now;
+  task.stop_grace_s = 0;
+  if (job) {
+    task.size = Resources::of(job->spec);
+    task.team = job->team;
+    teams_.take(job->team, task.size);
+  } else {
+    machines_.add_unknown_tasks(machine, 1);
+  }
+  machine.taken += task.size;
+  return task;
+}
+
+void TaskBindings::release(ScheduledMachine& machine, TaskKey key, Requeue requeue, Ms now) {
+  const auto found = machine.tasks.find(key);
+  if (found == machine.tasks.end()) return;
+  const BoundTask task = found->second;
+  machine.tasks.erase(found);
+  machine.taken -= task.size;
+  if (task.service) machine.service_cpus -= task.size.cpus;
+  if (!task.team) machines_.add_unknown_tasks(machine, -1);
+  if (machine.tasks.empty()) {  // no rounding errors are kept
+    machine.taken = {};
+    machine.service_cpus = 0;
+  }
+  totals_.add_free(machine, task.size.cpus);
+  if (task.team) teams_.give_back(*task.team, task.size);
+  if (!task.job) return;
+  ScheduledJob& job = *task.job;
+  --job.bound;
+  if (task.phase == TaskPhase::running) --job.running;
+  if (--job.zones[machine.zone] == 0) job.zones.erase(machine.zone);
+  if (requeue == Requeue::yes) jobs_.requeue(job, key.index, now);
+}
+
+void TaskBindings::release_all(ScheduledMachine& machine, Ms now) {
+  while (!machine.tasks.empty()) release(machine, machine.tasks.begin()->first, Requeue::yes, now);
+}
+
+}  // namespace eiderreel
--- /dev/null
+++ b/src/scheduler/task_commands.cc
@@ -0,0 +1,52 @@
+// Launches and kills.
+#include "scheduler/task_commands.h"
+
+#include <cstdint>
+#include <vector>
+
+#include "constants.h"
+#include "model/heartbeat.h"
+#include "model/job.h"
+#include "scheduler/scheduled_job.h"
+#include "scheduler/scheduled_machine.h"
+
+namespace eiderreel {
+
+Command launch_command(const TaskKey& key, std::uint64_t attempt) {
+  return {CommandType::launch, key.job, key.index, attempt, 0};
+}
+
+Command kill_command(const TaskKey& key, std::uint64_t attempt, double grace_s) {
+  return {CommandType::kill, key.job, key.index, attempt, grace_s};
+}
+
+Command clear_command(const TaskKey& key, std::uint64_t attempt) {
+  return {CommandType::clear, key.job, key.index, attempt, 0};
+}
+
+bool stop_task(const TaskKey& key, BoundTask& task, std::vector<Command>& out) {
+  const JobSpec& spec = task.job->spec;
+  const bool saves = spec.checkpoint_s > 0 && task.phase == TaskPhase::running;
+  const double grace_s = saves ? spec.save_s : 0;
+  task.stop_grace_s = grace_s;
+  out.push_back(kill_command(key, task.attempt, grace_s));
+  return !saves;
+}
+
+void TaskLauncher::start(ScheduledMachine& machine, ScheduledJob& job, Ms now,
+                         std::vector<Command>& out) {
+  const std::uint32_t index = job.next_queued();
+  // Invariant 2: the attempt is the fencing token shifted, plus a counter.
+  const std::uint64_t attempt =
+      (machines_.fencing_token_of(machine) << constants::kAttemptBits) + ++counter_;
+  const Ms fetch = machine.fetch_ms(job);  // the binding counts its image as there
+  BoundTask& task = bindings_.bind(machine, job, index, attempt, TaskPhase::pulling, now);
+  if (job.starved) {
+    task.kept_until = now + fetch + constants::kBegunMs;
+    job.starved = false;  // it has begun: the next task takes its turn
+    reservation_.job_started(job);
+  }
+  out.push_back(launch_command({job.spec.id, index}, attempt));
+}
+
+}  // namespace eiderreel
