--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include "codec/job_json.h"
+#include "runtime/http_status.h"
 
 namespace eiderreel {
 
@@ -25,7 +26,7 @@
       partition_leader_(partition_leader),
       admission_(settings, state_store),
       // Answers may come late, even to a process started since: no number is used twice.
-      next_query_(static_cast<std::uint64_t>(runtime.random() * 9e15)) {}
+      next_query_(static_cast<std::uint64_t>(runtime.random() * k::kFirstNumberRange)) {}
 
 Reply JobApi::counted(std::map<int, std::uint64_t>& by_status, LatencyHistogram& latency,
                       Reply reply) {
@@ -129,9 +130,9 @@
     return reply_final(id, final_phase->second.phase, cancel, reply);
   if (!v.jobs.count(id)) return read_open(id, cancel, std::move(reply));
   const Ms asked_at = runtime_.now();
-  query_leader(id, cancel, [this, id, cancel, asked_at, reply](int status, std::string body) {
-    if (status == 0) return read_open(id, cancel, reply);
-    reply_open(id, cancel, {asked_at, status, std::move(body)}, reply);
+  query_leader(id, cancel, [this, id, cancel, asked_at, reply](JobQueryResult result) {
+    if (!result) return read_open(id, cancel, reply);
+    reply_open(id, cancel, {asked_at, result->status, std::move(result->body)}, reply);
   });
 }
 
@@ -188,25 +189,36 @@
   });
 }
 
-void JobApi::query_leader(const std::string& id, bool cancel, Reply reply) {
-  const ClusterView& v = state_store_.view();
-  auto partition = v.partitions.find(settings_.partition_of_team(v.jobs.at(id).spec.team));
-  if (partition == v.partitions.end()) return reply(0, "");
-  if (partition->second.leader == settings_.node)
-    return partition_leader_.query_job({0, cancel, id}, std::move(reply));
-  if (!partition_leader_.peer_alive(partition->second.leader)) return reply(0, "");
+void JobApi::query_leader(const std::string& id, bool cancel, JobQueryDone done) {
+  const ClusterView& view = state_store_.view();
+  const int partition = settings_.partition_of_team(view.jobs.at(id).spec.team);
+  const auto entry = view.partitions.find(partition);
+  if (entry == view.partitions.end()) return done(tl::unexpected(JobQueryError::unreachable));
+  const std::string& leader = entry->second.leader;
+  if (leader == settings_.node) return partition_leader_.query_job({0, cancel, id}, done);
+  if (!partition_leader_.peer_alive(leader))
+    return done(tl::unexpected(JobQueryError::unreachable));
   const std::uint64_t number = ++next_query_;
-  pending_queries_[number] = std::move(reply);
-  hooks_.query_peer(partition->second.leader, {number, cancel, id});
-  runtime_.after(k::kPeerQueryTimeoutMs, [this, number] { on_query_reply({number, 0, ""}); });
+  pending_queries_[number] = std::move(done);
+  hooks_.query_peer(leader, {number, cancel, id});
+  runtime_.after(k::kPeerQueryTimeoutMs, [this, number] {
+    finish_query(number, tl::unexpected(JobQueryError::unreachable));
+  });
+}
+
+void JobApi::on_query_reply(const peer_rpc::JobQueryReply& answer) {
+  if (answer.status == http_status::kNoAnswer)
+    return finish_query(answer.number, tl::unexpected(JobQueryError::unspecified));
+  finish_query(answer.number, HttpReply{answer.status, answer.body});
 }
 
-void JobApi::on_query_reply(const peer_rpc::JobQueryReply& a) {
-  auto it = pending_queries_.find(a.number);
-  if (it == pending_queries_.end()) return;
-  Reply reply = std::move(it->second);
-  pending_queries_.erase(it);
-  reply(a.status, a.body);
+// The first of answer and timeout counts; a late one finds no question.
+void JobApi::finish_query(std::uint64_t number, JobQueryResult result) {
+  const auto query = pending_queries_.find(number);
+  if (query == pending_queries_.end()) return;
+  const JobQueryDone done = std::move(query->second);
+  pending_queries_.erase(query);
+  done(std::move(result));
 }
 
 }  // namespace eiderreel
--- a/src/api/job_api.h
+++ b/src/api/job_api.h
@@ -4,6 +4,7 @@
 #include <string>
 
 #include "api/job_admission.h"
+#include "leadership/job_query.h"
 #include "leadership/partition_leader.h"
 #include "observability/latency_histogram.h"
 #include "state_store/state_store_client.h"
@@ -29,7 +30,7 @@
   void submit(const std::string& body, Reply reply);
   void poll(const std::string& id, Reply reply);
   void cancel(const std::string& id, Reply reply);
-  void on_query_reply(const peer_rpc::JobQueryReply& a);
+  void on_query_reply(const peer_rpc::JobQueryReply& answer);
   void types_known(const std::vector<MachineType>& types) { types_ = types; }
 
   bool ready() const {
@@ -39,8 +40,9 @@
 
  private:
   Reply counted(std::map<int, std::uint64_t>& by_status, LatencyHistogram& latency, Reply reply);
-  // Asks the leader, here or over the peer links; status 0 when it cannot be had.
-  void query_leader(const std::string& id, bool cancel, Reply reply);
+  // Asks the leader of a job in the view, here or over the peer links.
+  void query_leader(const std::string& id, bool cancel, JobQueryDone done);
+  void finish_query(std::uint64_t number, JobQueryResult result);
   void look_up(const std::string& id, bool cancel, Reply reply);
   void reply_final(const std::string& id, JobPhase phase, bool cancel, const Reply& reply) const;
   // What is known of an open job, from a question that was asked at `asked_at`.
@@ -65,7 +67,7 @@
   Hooks hooks_;
   std::vector<MachineType> types_;
   std::uint64_t next_query_ = 0;
-  std::map<std::uint64_t, Reply> pending_queries_;
+  std::map<std::uint64_t, JobQueryDone> pending_queries_;  // by number
   Counters counters_;
 };
 
--- a/src/constants.h
+++ b/src/constants.h
@@ -38,6 +38,9 @@
 constexpr std::size_t kOpenVoteRequests = 16;  // questions whose sending time is kept
 constexpr Ms kFinalRetryMs = 1000;             // ms; pause before a final commit is tried again
 
+// Numbers of messages begin at random below this: whole in a double, and never used up.
+constexpr double kFirstNumberRange = 9e15;
+
 // --- workers ------------------------------------------------------------------------------
 constexpr Ms kDeferBusyMs = 400;   // ms; under the half second a worker waits between heartbeats
 constexpr Ms kDeferIdleMs = 2500;  // ms; longest deferring of an idle machine, well under 4 s
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -5,12 +5,23 @@
 #include "codec/job_json.h"
 #include "codec/worker_json.h"
 #include "controller/metrics.h"
+#include "runtime/http_status.h"
 #include "upgrade/http_routes.h"
 
 namespace eiderreel {
 
 namespace k = constants;
 
+namespace {
+
+// The message between peers does not tell why there is no answer.
+peer_rpc::JobQueryReply job_query_reply(std::uint64_t number, const JobQueryResult& result) {
+  if (!result) return {number, http_status::kNoAnswer, ""};
+  return {number, result->status, result->body};
+}
+
+}  // namespace
+
 Controller::Controller(Runtime& runtime, const Settings& settings)
     : runtime_(runtime),
       settings_(settings),
@@ -70,8 +81,8 @@
     const std::string& from;
     void operator()(const peer_rpc::JobQuery& a) {
       n.partition_leader_.query_job(
-          a, [node = &n, from = from, number = a.number](int status, std::string body) {
-            node->send(from, peer_rpc::JobQueryReply{number, status, std::move(body)});
+          a, [node = &n, from = from, number = a.number](const JobQueryResult& result) {
+            node->send(from, job_query_reply(number, result));
           });
     }
     void operator()(const peer_rpc::JobQueryReply& a) { n.job_api_.on_query_reply(a); }
--- a/src/leadership/conversion_pace.cc
+++ b/src/leadership/conversion_rate_limiter.cc
@@ -1,4 +1,5 @@
-#include "leadership/conversion_pace.h"
+// Limits how fast stored progress is converted, to a share of the state store's changes.
+#include "leadership/conversion_rate_limiter.h"
 
 #include <algorithm>
 #include <cmath>
--- /dev/null
+++ b/src/leadership/leadership_votes.cc
@@ -0,0 +1,64 @@
+// The votes of peers not to claim our partitions, which let us act through an outage of the state
+// store.
+#include "leadership/leadership_votes.h"
+
+#include <algorithm>
+
+namespace eiderreel {
+
+namespace k = constants;
+
+LeadershipVotes::LeadershipVotes(Runtime& runtime, const Settings& settings,
+                                 StateStoreClient& state_store)
+    : runtime_(runtime),
+      settings_(settings),
+      state_store_(state_store),
+      last_request_number_(static_cast<std::uint64_t>(runtime.random() * k::kFirstNumberRange)) {}
+
+// Invariant 6: a controller that is not surely the leader does nothing. It is sure while its lease
+// is alive or, while nobody reaches the state store, while all peers have voted not to claim its
+// partitions.
+bool LeadershipVotes::may_act() const {
+  if (state_store_.lease_alive()) return true;
+  if (state_store_.lease_id() == 0 || settings_.peers.empty()) return false;
+  const Ms now = runtime_.now();
+  return std::all_of(settings_.peers.begin(), settings_.peers.end(), [&](const Peer& peer) {
+    const auto until = vote_valid_until_.find(peer.name);
+    return until != vote_valid_until_.end() && now < until->second;
+  });
+}
+
+// Votes are requested as soon as the state store is silent, so that they are there when the lease
+// can no longer be trusted.
+std::optional<peer_rpc::VoteRequest> LeadershipVotes::next_request(
+    std::vector<std::pair<int, std::uint64_t>> partitions) {
+  const Ms now = runtime_.now();
+  if (partitions.empty() || now - state_store_.last_good() < k::kStateSilentMs ||
+      now - requested_at_ < k::kVoteRequestEveryMs)
+    return std::nullopt;
+  requested_at_ = now;
+  peer_rpc::VoteRequest request;
+  request.number = ++last_request_number_;
+  request.ttl = k::kVoteMs;
+  request.store_revision = state_store_.view().store_revision;
+  request.partitions = std::move(partitions);
+  request_sent_at_[request.number] = now;
+  while (request_sent_at_.size() > k::kOpenVoteRequests)
+    request_sent_at_.erase(request_sent_at_.begin());
+  return request;
+}
+
+// A vote counts from the sending of its request.
+void LeadershipVotes::receive(const std::string& node, const peer_rpc::Vote& vote) {
+  const auto sent_at = request_sent_at_.find(vote.number);
+  if (sent_at == request_sent_at_.end() || !vote.granted) return;
+  // Our view stands still while votes let us act. What the peer may have told its users must be
+  // known here first: otherwise the tasks of such a job go on until the outage is over.
+  state_store_.replica().merge_finished(vote.finished);
+  const Ms until =
+      sent_at->second + static_cast<Ms>(k::kVoteMs * (1 - k::kDrift)) - k::kLeaseMarginMs;
+  Ms& valid_until = vote_valid_until_[node];
+  valid_until = std::max(valid_until, until);
+}
+
+}  // namespace eiderreel
--- /dev/null
+++ b/src/leadership/machine_transfers.cc
@@ -0,0 +1,78 @@
+// Giving machines to other partitions, or back to the cloud.
+#include "leadership/machine_transfers.h"
+
+#include <spdlog/spdlog.h>
+
+#include <utility>
+
+namespace eiderreel {
+
+namespace k = constants;
+
+// The machines are chosen together, and moved in as few transactions as the state store allows.
+void MachineTransfers::transfer(const peer_rpc::TransferRequest& request) {
+  LedPartition* led = led_.find_acting(request.partition);
+  if (!led || request.to == request.partition || request.to >= settings_.partition_count) return;
+  PartitionScheduler& scheduler = *led->scheduler;
+  const LeadershipTerm term = led->term();
+  const bool release = request.to < 0;
+  Machines batch;
+  for (const auto& machine :
+       scheduler.idle_machines(request.spot, request.cpus, release, runtime_.now())) {
+    if (!state_store_.view().machines.count(machine) || !scheduler.begin_transfer(machine))
+      continue;
+    batch.push_back(machine);
+    if (static_cast<int>(batch.size()) < settings_.batch()) continue;
+    transfer_batch(term, request.to, batch);
+    batch.clear();
+  }
+  if (!batch.empty()) transfer_batch(term, request.to, batch);
+}
+
+void MachineTransfers::transfer_batch(const LeadershipTerm& term, int to,
+                                      const Machines& machines) {
+  const ClusterView& view = state_store_.view();
+  CompareAndSwap swap;
+  swap.request_priority = RequestPriority::fleet;
+  swap.nonce = state_store_.nonce();
+  swap.preconditions = {{codec::partition_key(term.partition), term.fencing_token}};
+  for (const auto& machine : machines) {
+    const auto& entry = view.machines.at(machine);
+    codec::MachineRecord record = entry.record;
+    record.partition = to;
+    swap.preconditions.push_back({codec::machine_key(machine), entry.revision});
+    swap.writes.push_back({codec::machine_key(machine), codec::encode(record, swap.nonce), false});
+    spdlog::info("machine transfer machine={} from={} to={} fencing_token={}", machine,
+                 term.partition, to, term.fencing_token);
+  }
+  commit(term, machines, std::move(swap));
+}
+
+// In doubt the machines stay on their way out, and the same commit is tried until it is proven done
+// or undone. Without that, a later try that was refused once let their leader use them again; then
+// the first landed after all, and their tasks were started a second time while they still ran.
+void MachineTransfers::commit(const LeadershipTerm& term, const Machines& machines,
+                              CompareAndSwap swap) {
+  CompareAndSwap again = swap;
+  again.doubt = true;
+  swap.done = [this, term, machines, again = std::move(again)](CasOutcome outcome, std::uint64_t) {
+    LedPartition* led = led_.find(term);
+    if (!led) return;
+    if (outcome == CasOutcome::unknown) return retry(term, machines, again);
+    for (const auto& machine : machines) led->scheduler->end_transfer(machine);
+  };
+  state_store_.compare_and_swap(std::move(swap));
+}
+
+void MachineTransfers::retry(const LeadershipTerm& term, const Machines& machines,
+                             const CompareAndSwap& swap) {
+  runtime_.after(k::kRetryMs, [this, term, machines, swap] {
+    if (!led_.find(term)) return;
+    if (led_.acting(term.partition))
+      commit(term, machines, swap);
+    else
+      retry(term, machines, swap);
+  });
+}
+
+}  // namespace eiderreel
--- /dev/null
+++ b/src/leadership/partition_activation.h
@@ -0,0 +1,51 @@
+// From a claim that has landed to a partition that is active: its stored progress, machines and
+// jobs are loaded.
+#pragma once
+#include <cstdint>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "config/settings.h"
+#include "leadership/leadership_counters.h"
+#include "leadership/led_partitions.h"
+#include "leadership/partition_jobs.h"
+#include "state_store/state_store_client.h"
+
+namespace eiderreel {
+
+/// Makes the schedulers of newly claimed partitions.
+class PartitionActivation {
+ public:
+  PartitionActivation(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
+                      LedPartitions& led, PartitionJobs& jobs, LeadershipCounters& counters)
+      : runtime_(runtime),
+        settings_(settings),
+        state_store_(state_store),
+        led_(led),
+        jobs_(jobs),
+        counters_(counters) {}
+
+  /// Begins a term; nothing happens if the partition is led already.
+  void activate(const LeadershipTerm& term);
+  /// The machine types of the cloud, for all partitions now and later.
+  void set_types(const std::vector<MachineType>& types);
+
+ private:
+  using DoneTasks = std::map<std::string, std::vector<std::uint32_t>>;  // by job
+
+  SchedulingPolicy scheduling_policy() const;
+  void load_progress(const LeadershipTerm& term);
+  DoneTasks take_progress(LedPartition& led, const std::vector<codec::StateRow>& rows) const;
+  void open(LedPartition& led, const DoneTasks& done);
+
+  Runtime& runtime_;
+  const Settings& settings_;
+  StateStoreClient& state_store_;
+  LedPartitions& led_;
+  PartitionJobs& jobs_;
+  LeadershipCounters& counters_;
+  std::vector<MachineType> types_;
+};
+
+}  // namespace eiderreel
--- /dev/null
+++ b/src/leadership/partition_handover.h
@@ -0,0 +1,53 @@
+// Giving up partitions: to their preferred leader, or to a peer that still hears workers.
+#pragma once
+#include <cstdint>
+#include <map>
+
+#include "config/settings.h"
+#include "leadership/leadership_counters.h"
+#include "leadership/led_partitions.h"
+#include "leadership/peer_directory.h"
+#include "leadership/worker_liveness.h"
+#include "state_store/state_store_client.h"
+
+namespace eiderreel {
+
+/// Steps down from partitions and deletes their claims, so that another node can claim them.
+class PartitionHandover {
+ public:
+  PartitionHandover(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
+                    LedPartitions& led, const PeerDirectory& peers, const WorkerLiveness& workers,
+                    LeadershipCounters& counters)
+      : runtime_(runtime),
+        settings_(settings),
+        state_store_(state_store),
+        led_(led),
+        peers_(peers),
+        workers_(workers),
+        counters_(counters) {}
+
+  /// Gives at most one partition back to its preferred leader.
+  void fail_back();
+  /// Gives up one partition if this controller is cut off from its workers and a peer is not;
+  /// returns whether it did.
+  bool relinquish_if_workers_lost();
+  /// Whether a claim of ours was given up and its deletion is not proven yet.
+  bool is_deleting(int partition, std::uint64_t revision) const;
+
+ private:
+  bool may_relinquish() const;
+  bool may_fail_back_to(const std::string& preferred) const;
+  void relinquish(int partition, const char* reason);
+  void delete_claim(const LeadershipTerm& claim);
+
+  Runtime& runtime_;
+  const Settings& settings_;
+  StateStoreClient& state_store_;
+  LedPartitions& led_;
+  const PeerDirectory& peers_;
+  const WorkerLiveness& workers_;
+  LeadershipCounters& counters_;
+  std::map<int, std::uint64_t> deleting_claims_;  // revisions by partition
+};
+
+}  // namespace eiderreel
--- a/src/leadership/partition_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -1,126 +1,154 @@
-// The jobs of the leader's partitions: how they open and close, and questions about them. What is
-// written of them stands in owner_persistence.cc.
+// The jobs of the led partitions: how they open and close, and questions about them.
+#include "leadership/partition_jobs.h"
+
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
 #include "codec/job_json.h"
-#include "leadership/partition_leader.h"
+#include "leadership/job_lookup.h"
+#include "runtime/http_status.h"
 
 namespace eiderreel {
+namespace {
 
-namespace k = constants;
+void decline(const JobQueryDone& done, JobQueryError error) { done(tl::unexpected(error)); }
+
+// Passes the reply of a final commit on to whoever asked for it.
+Reply reply_to(const JobQueryDone& done) {
+  return [done](int status, std::string body) { done(HttpReply{status, std::move(body)}); };
+}
+
+}  // namespace
+
+// Null: it is not led here, or its activation will read the view.
+LedPartition* PartitionJobs::active_partition_of(const JobSpec& spec) {
+  LedPartition* led = led_.find(settings_.partition_of_team(spec.team));
+  return led && led->active ? led : nullptr;
+}
 
-void PartitionLeader::job_opened(const std::string& id) {
-  const auto& j = state_store_.view().jobs.at(id);
-  LedPartition* o = led_partition(settings_.partition_of_team(j.spec.team));
-  if (!o || !o->active) return;  // it will read the view
-  if (state_store_.view().dependencies.waits(id)) return log_waiting(id);
-  open_in(*o, id, {});
-  answer_deferred(*o);
+void PartitionJobs::job_opened(const std::string& job) {
+  const ClusterView& view = state_store_.view();
+  LedPartition* led = active_partition_of(view.jobs.at(job).spec);
+  if (!led) return;
+  if (view.dependencies.waits(job)) return log_waiting(job);
+  open(*led, job, {});
+  commands_.answer_deferred(*led);
 }
 
-void PartitionLeader::log_waiting(const std::string& id) const {
+void PartitionJobs::log_waiting(const std::string& job) const {
   const auto& dependencies = state_store_.view().dependencies;
-  const auto first = dependencies.prerequisites_of(id, 1);
-  spdlog::info("job waiting job={} prerequisites={} first={} cancelled={}", id,
-               dependencies.prerequisite_count(id), first.empty() ? "-" : first.front(),
-               dependencies.cancelled(id));
+  const auto first = dependencies.prerequisites_of(job, 1);
+  spdlog::info("job waiting job={} prerequisites={} first={} cancelled={}", job,
+               dependencies.prerequisite_count(job), first.empty() ? "-" : first.front(),
+               dependencies.cancelled(job));
 }
 
 // Invariant 11: the last of its prerequisites is durably done. Until now the partition knew nothing
-// of the job: it took part in no limit, no fair share, no need of machines.
-void PartitionLeader::job_ready(const std::string& id) {
-  const auto job = state_store_.view().jobs.find(id);
-  if (job == state_store_.view().jobs.end()) return;
-  LedPartition* o = led_partition(settings_.partition_of_team(job->second.spec.team));
-  if (!o || !o->active) return;
-  spdlog::info("job ready job={} fencing_token={}", id, o->core->fencing_token());
-  open_in(*o, id, {});
+// of the job: it took part in no quota, no fair share, no need of machines.
+void PartitionJobs::job_ready(const std::string& job) {
+  const auto& jobs = state_store_.view().jobs;
+  const auto entry = jobs.find(job);
+  if (entry == jobs.end()) return;
+  LedPartition* led = active_partition_of(entry->second.spec);
+  if (!led) return;
+  spdlog::info("job ready job={} fencing_token={}", job, led->scheduler->fencing_token());
+  open(*led, job, {});
   // Its user has cancelled it while it waited, and that is still to be recorded.
-  if (auto f = o->persistence.find(id); f != o->persistence.end() && f->second.cancel_asked)
-    o->core->cancel_job(id);
-  answer_deferred(*o);
+  const JobPersistence* persistence = led->find_persistence(job);
+  if (persistence && persistence->cancel_asked) led->scheduler->cancel_job(job);
+  commands_.answer_deferred(*led);
 }
 
-// Opens a job that is free to start. A job that became so after our claim never had a task under an
-// earlier leader, whenever it was accepted.
-void PartitionLeader::open_in(LedPartition& o, const std::string& id,
-                              const std::vector<std::uint32_t>& done) {
-  const ClusterView& v = state_store_.view();
-  const auto& job = v.jobs.at(id);
-  const auto readiness = v.dependencies.readiness(id);
-  const std::uint64_t free_since = readiness ? readiness->revision : job.revision;
-  const bool older = free_since < o.core->fencing_token();
-  const Ms ready_at = readiness ? readiness->at : job.spec.accepted_at;
-  const Ms age = older || readiness ? std::max<Ms>(0, runtime_.wall() - ready_at) : 0;
-  o.core->open_job(job.spec, job.revision, older, done, age,
-                   std::max<Ms>(0, ready_at - job.spec.accepted_at));
-  urgency_changed(id);
+// A job that became free to start after our claim never had a task under an earlier leader,
+// whenever it was accepted.
+void PartitionJobs::open(LedPartition& led, const std::string& job,
+                         const std::vector<std::uint32_t>& done) {
+  const ClusterView& view = state_store_.view();
+  const auto& entry = view.jobs.at(job);
+  const auto readiness = view.dependencies.readiness(job);
+  const std::uint64_t free_since = readiness ? readiness->revision : entry.revision;
+  const bool predates_claim = free_since < led.scheduler->fencing_token();
+  const Ms accepted_at = entry.spec.accepted_at;
+  const Ms ready_at = readiness ? readiness->at : accepted_at;
+  const bool has_age = predates_claim || readiness.has_value();
+  const Ms age = has_age ? std::max<Ms>(0, runtime_.wall() - ready_at) : 0;
+  const Ms waited = std::max<Ms>(0, ready_at - accepted_at);
+  led.scheduler->open_job(entry.spec, entry.revision, predates_claim, done, age, waited);
+  urgency_changed(job);
 }
 
-void PartitionLeader::urgency_changed(const std::string& id) {
-  const auto urgency = state_store_.view().dependencies.urgency(id);
-  for (auto& [partition, o] : led_partitions_) {
-    if (!o.core->has_job(id)) continue;
-    if (!urgency) return o.core->set_urgency(id, Priority::best_effort, std::nullopt);
+void PartitionJobs::urgency_changed(const std::string& job) {
+  const auto urgency = state_store_.view().dependencies.urgency(job);
+  for (auto& [partition, led] : led_) {
+    if (!led.scheduler->has_job(job)) continue;
+    if (!urgency) return led.scheduler->set_urgency(job, Priority::best_effort, std::nullopt);
     std::optional<Ms> finish_by = urgency->finish_by;
     if (finish_by) *finish_by += runtime_.now() - runtime_.wall();
-    o.core->set_urgency(id, urgency->priority, finish_by);
+    led.scheduler->set_urgency(job, urgency->priority, finish_by);
   }
 }
 
-void PartitionLeader::job_closed(const std::string& id) {
-  for (auto& [partition, o] : led_partitions_) {
-    if (auto f = o.persistence.find(id); f != o.persistence.end()) {
-      if (f->second.final_commit)
-        for (auto& key : f->second.final_commit->left_over)
-          o.garbage_keys.push_back(std::move(key));
-      o.persistence.erase(f);
+void PartitionJobs::job_closed(const std::string& job) {
+  for (auto& [partition, led] : led_) {
+    if (const auto found = led.persistence.find(job); found != led.persistence.end()) {
+      if (auto& final_commit = found->second.final_commit)
+        led.garbage_keys.insert(led.garbage_keys.end(),
+                                std::make_move_iterator(final_commit->left_over.begin()),
+                                std::make_move_iterator(final_commit->left_over.end()));
+      led.persistence.erase(found);
     }
-    if (!o.core->has_job(id)) continue;
-    o.core->close_job(id);
-    send_kills(o);
-    answer_deferred(o);
+    if (!led.scheduler->has_job(job)) continue;
+    led.scheduler->close_job(job);
+    commands_.send_kills(led);
+    commands_.answer_deferred(led);
   }
 }
 
-void PartitionLeader::query_job(const peer_rpc::JobQuery& a, Reply reply) {
-  const int partition = partition_of_job(a.job);
-  LedPartition* o = partition < 0 ? nullptr : acting_partition(partition);
-  if (!o) return reply(0, "");
-  if (state_store_.view().dependencies.waits(a.job))
-    return query_waiting_job(partition, a, std::move(reply));
-  auto status = o->core->status(a.job);
-  if (!status) return reply(0, "");
-  if (!a.cancel) {
-    // While a final commit may have landed, a peer may have read it and told its users. What
-    // we hold to be open would then go back on that; the state store alone can tell.
-    auto f = o->persistence.find(a.job);
-    if (f != o->persistence.end() && f->second.final_commit) return reply(0, "");
-    return reply(200, codec::job_status(a.job, *status));
+void PartitionJobs::query(const peer_rpc::JobQuery& query, const JobQueryDone& done) {
+  const auto partition = partition_of_job(state_store_.view(), settings_, query.job);
+  if (!partition) return decline(done, JobQueryError::unknown_job);
+  LedPartition* led = led_.find_acting(*partition);
+  if (!led) return decline(done, JobQueryError::not_leader);
+  if (state_store_.view().dependencies.waits(query.job)) return query_waiting(*led, query, done);
+  const auto status = led->scheduler->status(query.job);
+  if (!status) return decline(done, JobQueryError::unknown_job);
+  if (!query.cancel) {
+    // While a final commit may have landed, a peer may have read it and told its users. What we
+    // hold to be open would then go back on that; the state store alone can tell.
+    const JobPersistence* persistence = led->find_persistence(query.job);
+    if (persistence && persistence->final_commit)
+      return decline(done, JobQueryError::outcome_in_doubt);
+    return done(HttpReply{http_status::kOk, codec::job_status(query.job, *status)});
   }
-  // Its tasks are of no use to anyone from now on. Killed only after the commit, they went
-  // on for as long as its outcome was in doubt.
-  o->core->cancel_job(a.job);
-  send_kills(*o);
-  commit_final(partition, a.job, std::move(reply));
+  // Its tasks are of no use to anyone from now on. Killed only after the commit, they would go on
+  // for as long as its outcome is in doubt.
+  led->scheduler->cancel_job(query.job);
+  commands_.send_kills(*led);
+  finalizer_.commit(*led, query.job, reply_to(done));
 }
 
-// A question about a job that waits for others. Invariant 12: its leader alone tells that it is
-// cancelled by implication, so that nobody tells older news after that, and whoever owns it next
-// knows all that this leader knew.
-void PartitionLeader::query_waiting_job(int partition, const peer_rpc::JobQuery& a, Reply reply) {
-  if (state_store_.view().dependencies.cancelled(a.job))
-    return reply(200, a.cancel ? codec::job_answer(a.job, JobPhase::cancelled)
-                               : codec::job_status(a.job, {JobPhase::cancelled, 0, 0}));
-  LedPartition& o = led_partitions_.at(partition);
-  if (a.cancel) {
-    o.persistence[a.job].cancel_asked = true;
-    return commit_final(partition, a.job, std::move(reply));
+// Invariant 12: the leader of a waiting job alone tells that it is cancelled by implication, so
+// that nobody tells older news after that, and whoever leads it next knows all that this leader
+// knew.
+void PartitionJobs::query_waiting(LedPartition& led, const peer_rpc::JobQuery& query,
+                                  const JobQueryDone& done) {
+  if (state_store_.view().dependencies.cancelled(query.job))
+    return done(HttpReply{http_status::kOk,
+                          query.cancel
+                              ? codec::job_answer(query.job, JobPhase::cancelled)
+                              : codec::job_status(query.job, {JobPhase::cancelled, 0, 0})});
+  if (query.cancel) {
+    led.persistence[query.job].cancel_asked = true;
+    return finalizer_.commit(led, query.job, reply_to(done));
   }
-  const auto f = o.persistence.find(a.job);
-  const bool may_be_final = f != o.persistence.end() && f->second.final_commit;
-  if (may_be_final || state_store_.replica().is_unresolved(a.job)) return reply(0, "");
-  reply(200, codec::job_status(a.job, {JobPhase::queued, 0, 0}));
+  const JobPersistence* persistence = led.find_persistence(query.job);
+  const bool may_be_final = persistence && persistence->final_commit;
+  if (may_be_final || state_store_.replica().is_unresolved(query.job))
+    return decline(done, JobQueryError::outcome_in_doubt);
+  done(HttpReply{http_status::kOk, codec::job_status(query.job, {JobPhase::queued, 0, 0})});
 }
 
 }  // namespace eiderreel
--- a/src/leadership/partition_leader.cc
+++ b/src/leadership/partition_leader.cc
@@ -1,8 +1,9 @@
+// The facade of this folder: passes on to its modules what happens, and drives them by ticks.
 #include "leadership/partition_leader.h"
 
-#include <spdlog/spdlog.h>
+#include <utility>
 
-#include "codec/worker_json.h"
+#include "runtime/http_status.h"
 
 namespace eiderreel {
 
@@ -13,376 +14,162 @@
     : runtime_(runtime),
       settings_(settings),
       state_store_(state_store),
-      started_(runtime.now()),
-      next_vote_request_(static_cast<std::uint64_t>(runtime.random() * 9e15)),
-      conversion_rate_limiter_(settings.upgrade.conversion_share * settings.state_write_rps /
-                               static_cast<double>(settings.peers.size() + 1)) {}
-
-Reply PartitionLeader::LedPartition::take_deferred(const std::string& machine) {
-  auto it = deferred.find(machine);
-  if (it == deferred.end()) return nullptr;
-  Reply reply = std::move(it->second.reply);
-  deferred.erase(it);
-  return reply;
+      votes_(runtime, settings, state_store),
+      led_(votes_),
+      peers_(runtime, settings, state_store),
+      workers_(runtime, settings, state_store),
+      commands_(runtime, led_, counters_),
+      finalizer_(runtime, settings, state_store, led_),
+      persistence_(runtime, settings, state_store, led_, finalizer_),
+      jobs_(runtime, settings, state_store, led_, finalizer_, commands_),
+      machines_(runtime, state_store, led_, counters_),
+      transfers_(runtime, settings, state_store, led_),
+      activation_(runtime, settings, state_store, led_, jobs_, counters_),
+      handover_(runtime, settings, state_store, led_, peers_, workers_, counters_),
+      claims_(runtime, settings, state_store, led_, peers_, workers_, handover_, activation_),
+      vote_granter_(runtime, state_store, led_, claims_),
+      router_(runtime, settings, state_store, led_, peers_, claims_, commands_, counters_) {}
+
+void PartitionLeader::start(Hooks hooks) {
+  hooks_ = std::move(hooks);
+  router_.start(hooks_.assign);
+}
+
+// ------------------------------------------------------------------ requests and messages
+
+void PartitionLeader::heartbeat(const Heartbeat& heartbeat, Reply reply) {
+  ++counters_.reports;
+  workers_.heard();
+  router_.receive(heartbeat, std::move(reply));
 }
 
-PartitionLeader::LedPartition* PartitionLeader::led_partition(int partition) {
-  auto it = led_partitions_.find(partition);
-  return it == led_partitions_.end() ? nullptr : &it->second;
+void PartitionLeader::query_job(const peer_rpc::JobQuery& query, const JobQueryDone& done) {
+  jobs_.query(query, done);
 }
 
-PartitionLeader::LedPartition* PartitionLeader::acting_partition(int partition) {
-  return acting(partition) ? led_partition(partition) : nullptr;
+void PartitionLeader::transfer_machines(const peer_rpc::TransferRequest& request) {
+  transfers_.transfer(request);
 }
 
-int PartitionLeader::partition_of_job(const std::string& id) const {
-  auto it = state_store_.view().jobs.find(id);
-  return it == state_store_.view().jobs.end() ? -1
-                                              : settings_.partition_of_team(it->second.spec.team);
-}
+void PartitionLeader::cordon(const peer_rpc::CordonRequest& request) { machines_.cordon(request); }
 
-bool PartitionLeader::peer_alive(const std::string& node) const {
-  auto it = peers_.find(node);
-  return it != peers_.end() && runtime_.now() - it->second.at < k::kStatusStaleMs;
+void PartitionLeader::peer_status(const std::string& node, const peer_rpc::PeerStatus& status) {
+  peers_.receive(node, status);
 }
 
-bool PartitionLeader::has_old_peer() const {
-  const auto& nodes = state_store_.view().nodes;
-  return std::any_of(settings_.peers.begin(), settings_.peers.end(), [&](const Peer& p) {
-    const auto node = nodes.find(p.name);
-    const auto peer = peers_.find(p.name);
-    return (node != nodes.end() && node->second.record.features == 0) ||
-           (peer_alive(p.name) && peer->second.status.features == 0);
-  });
+void PartitionLeader::machines_terminated(const std::vector<std::string>& machines) {
+  machines_.machines_terminated(machines);
 }
 
-std::map<int, PartitionLoad> PartitionLeader::partition_loads() const {
-  std::map<int, PartitionLoad> out;
-  const Ms now = runtime_.now();
-  for (const auto& [name, p] : peers_)
-    if (now - p.at < k::kStatusStaleMs)
-      for (const auto& [partition, n] : p.status.partition_loads) out[partition] = n;
-  for (const auto& [partition, o] : led_partitions_)
-    if (acting(partition)) out[partition] = o.core->load(now);
-  return out;
+peer_rpc::Vote PartitionLeader::vote_on(const std::string& node,
+                                        const peer_rpc::VoteRequest& request) {
+  return vote_granter_.vote_on(node, request);
 }
 
-std::vector<int> PartitionLeader::unheard_partitions() const {
-  const auto heard = partition_loads();
-  std::vector<int> out;
-  for (int partition = 0; partition < settings_.partition_count; ++partition)
-    if (!heard.count(partition)) out.push_back(partition);
-  return out;
+void PartitionLeader::receive_vote(const std::string& node, const peer_rpc::Vote& vote) {
+  votes_.receive(node, vote);
 }
 
-std::map<int, const PartitionScheduler*> PartitionLeader::partitions() const {
-  std::map<int, const PartitionScheduler*> out;
-  for (const auto& [partition, o] : led_partitions_) out[partition] = o.core.get();
-  return out;
+void PartitionLeader::types_known(const std::vector<MachineType>& types) {
+  activation_.set_types(types);
 }
 
-// ------------------------------------------------------------------------------ heartbeats
+// ------------------------------------------------------------ changes of the replicated view
 
-void PartitionLeader::heartbeat(const Heartbeat& r, Reply reply) {
-  ++counters_.reports;
-  workers_silent_ms_ = 0;
-  // A newer heartbeat of the worker: it no longer waits for the answer to the held one.
-  if (auto held = held_heartbeats_.find(r.machine); held != held_heartbeats_.end()) {
-    auto old = std::move(held->second.reply);
-    held_heartbeats_.erase(held);
-    old(503, "");
-  }
-  dispatch(r, std::move(reply));
-}
+void PartitionLeader::job_opened(const std::string& job) { jobs_.job_opened(job); }
 
-void PartitionLeader::dispatch(const Heartbeat& r, Reply reply) {
-  const ClusterView& v = state_store_.view();
-  if (!v.ready) return reply(503, "");
-  auto m = v.machines.find(r.machine);
-  if (m == v.machines.end()) {
-    if (is_cluster_leader()) return hooks_.assign(r, std::move(reply));
-    return redirect(r, 0, std::move(reply));
-  }
-  if (m->second.record.partition < 0) return reply(503, "");  // released; it is being returned
-  LedPartition* o = acting_partition(m->second.record.partition);
-  if (!o) return redirect(r, m->second.record.partition, std::move(reply));
-  // A newer heartbeat of the worker: it no longer waits for the answer to the deferred one.
-  if (auto old = o->take_deferred(r.machine)) old(503, "");
-  const Ms now = runtime_.now();
-  HeartbeatReply a = o->core->on_heartbeat(r, now);
-  if (a.verdict == HeartbeatVerdict::stale) {
-    ++counters_.stale_heartbeats;
-    return reply(503, "");
-  }
-  if (r.fencing_token < a.fencing_token)
-    return reply_to_heartbeat(*o, r.machine, std::move(a.commands), std::move(reply));
-  auto starts = o->core->place_tasks(r.machine, now);
-  a.commands.insert(a.commands.end(), starts.begin(), starts.end());
-  const Ms defer = a.commands.empty() ? o->core->defer_ms(r.machine) : 0;
-  if (defer > 0) {
-    ++counters_.deferred;
-    o->deferred[r.machine] = {std::move(reply), now + defer};
-    return;
-  }
-  reply_to_heartbeat(*o, r.machine, std::move(a.commands), std::move(reply));
-}
+void PartitionLeader::job_ready(const std::string& job) { jobs_.job_ready(job); }
 
-// Whether the node that owns a partition, or led it last, is a peer that is not heard of.
-bool PartitionLeader::leader_silent(int partition) const {
-  const auto leader = last_leader_.find(partition);
-  return leader != last_leader_.end() && leader->second != settings_.node &&
-         !peer_alive(leader->second);
-}
+void PartitionLeader::job_closed(const std::string& job) { jobs_.job_closed(job); }
 
-// A worker that is sent to an leader that has stopped waits 4 s for it, for the second time,
-// and its lease ends. Where the leader is silent, the heartbeat is held for a failover.
-void PartitionLeader::redirect(const Heartbeat& r, int partition, Reply reply) {
-  if (!leader_silent(partition)) return redirect_to_leader(partition, reply);
-  held_heartbeats_[r.machine] = {r, partition, std::move(reply),
-                                 runtime_.now() + k::kHoldHeartbeatMs};
-}
+void PartitionLeader::urgency_changed(const std::string& job) { jobs_.urgency_changed(job); }
 
-void PartitionLeader::redirect_to_leader(int partition, const Reply& reply) const {
-  const auto& partitions = state_store_.view().partitions;
-  auto it = partitions.find(partition);
-  if (it == partitions.end() || it->second.leader == settings_.node) return reply(503, "");
-  reply(421, codec::upstream_body(it->second.leader));
+void PartitionLeader::machine_changed(const std::string& machine) {
+  machines_.machine_changed(machine);
 }
 
-// Held heartbeats go where they belong once that is known. Silence is no proof that the leader has
-// stopped, so in the end its name is told all the same.
-void PartitionLeader::release_held_heartbeats() {
-  std::vector<HeldHeartbeat> ready;
-  for (auto it = held_heartbeats_.begin(); it != held_heartbeats_.end();) {
-    if (leader_silent(it->second.partition) && runtime_.now() < it->second.until) {
-      ++it;
-      continue;
-    }
-    ready.push_back(std::move(it->second));
-    it = held_heartbeats_.erase(it);
-  }
-  for (HeldHeartbeat& held : ready) {
-    if (leader_silent(held.partition))
-      redirect_to_leader(held.partition, held.reply);
-    else
-      dispatch(held.heartbeat, std::move(held.reply));
-  }
-}
+void PartitionLeader::partition_changed(int partition) { claims_.partition_changed(partition); }
 
-void PartitionLeader::reply_to_heartbeat(LedPartition& o, const std::string& machine,
-                                         std::vector<Command> commands, Reply reply) {
-  counters_.preemptions += o.core->take_preemptions();
-  for (const auto& order : commands)
-    if (order.type == CommandType::launch) {
-      ++counters_.starts;
-      spdlog::debug("task start job={} task={} attempt={} machine={} fencing_token={}", order.job,
-                    order.index, order.attempt, machine, o.core->fencing_token_of(machine));
-    }
-  o.core->heartbeat_answered(machine, runtime_.now());
-  reply(200, codec::heartbeat_reply_body(o.core->fencing_token_of(machine), commands));
-}
+void PartitionLeader::lease_lost() { claims_.lease_lost(); }
 
-// Work has come or room has freed: the deferred machines are looked at, one by one. Invariant 6,
-// guard: whoever has stood still finds changes of the state store before its own pace, and the
-// lease may be over by then.
-void PartitionLeader::answer_deferred(LedPartition& o) {
-  if (!acting(o.core->index())) return;
-  const Ms now = runtime_.now();
-  std::vector<std::pair<std::string, std::vector<Command>>> ready;
-  const bool waiting = o.core->has_waiting();
-  std::vector<std::string> ids;
-  for (const auto& [id, p] : o.deferred) ids.push_back(id);
-  if (waiting) ids = o.core->fullest_first(std::move(ids));
-  for (const auto& id : ids) {
-    const DeferredReply& p = o.deferred.at(id);
-    auto starts = waiting ? o.core->place_tasks(id, now) : std::vector<Command>{};
-    if (!starts.empty() || p.until <= now) ready.emplace_back(id, std::move(starts));
-  }
-  for (auto& [id, starts] : ready) {
-    reply_to_heartbeat(o, id, std::move(starts), o.take_deferred(id));
-  }
-}
+// ------------------------------------------------------------------- what others may know
 
-// Invariant 6: without a lease they are kept until the leader is sure of it again, or drops the
-// partition.
-void PartitionLeader::send_kills(LedPartition& o) {
-  if (!acting(o.core->index())) return;
-  for (auto& kill : o.core->take_kills()) {
-    // A worker that waits for its answer hears of it there; the others by /commands.
-    if (auto reply = o.take_deferred(kill.machine)) {
-      reply_to_heartbeat(o, kill.machine, std::move(kill.commands), std::move(reply));
-      continue;
-    }
-    const int partition = o.core->index();
-    runtime_.http({kill.addr, "POST", "/commands",
-                   codec::commands_body(kill.fencing_token, kill.incarnation, kill.commands),
-                   k::kCommandTimeoutMs, true},
-                  [this, partition, machine = kill.machine,
-                   fencing_token = o.core->fencing_token()](HttpReply r) {
-                    // Its next heartbeat tells what came of it. Without an answer it may be
-                    // mute, and hear of the kill in no other way.
-                    if (r.status == 0) retry_kills(partition, fencing_token, machine);
-                  });
-  }
-}
+bool PartitionLeader::acting(int partition) const { return led_.acting(partition); }
 
-void PartitionLeader::retry_kills(int partition, std::uint64_t fencing_token,
-                                  const std::string& machine) {
-  runtime_.after(k::kRetryMs, [this, partition, fencing_token, machine] {
-    LedPartition* o = acting_partition(partition);
-    if (!o || o->core->fencing_token() != fencing_token) return;
-    o->core->retry_kills(machine);
-    send_kills(*o);
-  });
-}
+bool PartitionLeader::peer_alive(const std::string& node) const { return peers_.alive(node); }
 
-void PartitionLeader::machines_terminated(const std::vector<std::string>& machines) {
-  for (auto& [partition, o] : led_partitions_)
-    for (const auto& id : machines)
-      if (o.core->has_machine(id)) {
-        spdlog::info("machine lost machine={} partition={} proof=cloud", id, partition);
-        o.core->machine_terminated(id, runtime_.now());
-      }
-}
+bool PartitionLeader::has_old_peer() const { return peers_.has_old_peer(); }
 
-void PartitionLeader::machine_changed(const std::string& id) {
-  const ClusterView& v = state_store_.view();
-  auto it = v.machines.find(id);
-  const int partition = it == v.machines.end() ? -1 : it->second.record.partition;
-  for (auto& [p, o] : led_partitions_) {
-    if (!o.active) continue;  // it will read the view
-    if (p == partition) {
-      o.core->add_machine(id, it->second.revision, it->second.revision > o.core->fencing_token(),
-                          runtime_.now());
-    } else if (o.core->has_machine(id)) {
-      // Given away by our own commit, idle; or released. Nothing of ours is on it.
-      if (auto reply = o.take_deferred(id)) reply(503, "");
-      o.core->remove_machine(id);
-    }
-  }
-}
-
-// The cluster leader's advice. Invariant 3: only the leader gives machines away, idle, under guard.
-// Those that go are decided as a class, in as few transactions as the state store allows.
-void PartitionLeader::transfer_machines(const peer_rpc::TransferRequest& m) {
-  LedPartition* o = acting_partition(m.partition);
-  if (!o || m.to == m.partition || m.to >= settings_.partition_count) return;
-  std::vector<std::string> batch;
-  for (const auto& id : o->core->idle_machines(m.spot, m.cpus, m.to < 0, runtime_.now())) {
-    if (!state_store_.view().machines.count(id) || !o->core->begin_transfer(id)) continue;
-    batch.push_back(id);
-    if (static_cast<int>(batch.size()) < settings_.batch()) continue;
-    transfer(m.partition, m.to, std::move(batch));
-    batch.clear();
-  }
-  if (!batch.empty()) transfer(m.partition, m.to, std::move(batch));
+std::map<int, PartitionLoad> PartitionLeader::partition_loads() const {
+  std::map<int, PartitionLoad> loads = peers_.partition_loads();
+  for (const auto& [partition, led] : led_)
+    if (led_.acting(partition)) loads[partition] = led.scheduler->load(runtime_.now());
+  return loads;
 }
 
-void PartitionLeader::transfer(int partition, int to, const std::vector<std::string>& machines) {
-  const ClusterView& v = state_store_.view();
-  const std::uint64_t fencing_token = led_partitions_.at(partition).core->fencing_token();
-  CompareAndSwap c;
-  c.request_priority = RequestPriority::fleet;
-  c.nonce = state_store_.nonce();
-  c.preconditions = {{codec::partition_key(partition), fencing_token}};
-  for (const auto& id : machines) {
-    const auto& m = v.machines.at(id);
-    codec::MachineRecord record = m.record;
-    record.partition = to;
-    c.preconditions.push_back({codec::machine_key(id), m.revision});
-    c.writes.push_back({codec::machine_key(id), codec::encode(record, c.nonce), false});
-    spdlog::info("machine transfer machine={} from={} to={} fencing_token={}", id, partition, to,
-                 fencing_token);
-  }
-  send_transfer(partition, fencing_token, machines, std::move(c));
+std::map<int, const PartitionScheduler*> PartitionLeader::partitions() const {
+  std::map<int, const PartitionScheduler*> schedulers;
+  for (const auto& [partition, led] : led_) schedulers[partition] = led.scheduler.get();
+  return schedulers;
 }
 
-// In doubt they stay on their way out, and the same commit is tried until it is proven done
-// or undone. A later try that was refused once let their leader use them again; then the first
-// landed after all, and their tasks were started a second time while they still ran.
-void PartitionLeader::send_transfer(int partition, std::uint64_t fencing_token,
-                                    const std::vector<std::string>& machines, CompareAndSwap c) {
-  c.done = [this, partition, fencing_token, machines, again = c](CasOutcome out,
-                                                                 std::uint64_t) mutable {
-    LedPartition* o = led_partition(partition);
-    if (!o || o->core->fencing_token() != fencing_token) return;
-    again.doubt = true;
-    if (out == CasOutcome::unknown)
-      return retry_transfer(partition, fencing_token, machines, again);
-    for (const auto& id : machines) o->core->end_transfer(id);
-  };
-  state_store_.compare_and_swap(std::move(c));
+std::optional<ConversionProgress> PartitionLeader::conversion() const {
+  return persistence_.conversion();
 }
 
-void PartitionLeader::retry_transfer(int partition, std::uint64_t fencing_token,
-                                     const std::vector<std::string>& machines,
-                                     const CompareAndSwap& c) {
-  runtime_.after(k::kRetryMs, [this, partition, fencing_token, machines, c] {
-    LedPartition* o = led_partition(partition);
-    if (!o || o->core->fencing_token() != fencing_token) return;
-    if (acting(partition))
-      send_transfer(partition, fencing_token, machines, c);
-    else
-      retry_transfer(partition, fencing_token, machines, c);
-  });
+std::optional<ConversionProgress> PartitionLeader::peer_conversion(const std::string& node) const {
+  return peers_.conversion(node);
 }
 
-void PartitionLeader::cordon(const peer_rpc::CordonRequest& s) {
-  if (LedPartition* o = acting_partition(s.partition))
-    o->core->cordon(s.cpus, s.drain, runtime_.now());
+std::vector<int> PartitionLeader::unheard_partitions() const {
+  const auto heard = partition_loads();
+  std::vector<int> unheard;
+  for (int partition = 0; partition < settings_.partition_count; ++partition)
+    if (!heard.count(partition)) unheard.push_back(partition);
+  return unheard;
 }
 
-// --------------------------------------------------------------------------------- pace
-
-void PartitionLeader::types_known(const std::vector<MachineType>& types) {
-  types_ = types;
-  for (auto& [partition, o] : led_partitions_) o.core->set_types(types_);
-}
+// ----------------------------------------------------------------------------------- ticks
 
-void PartitionLeader::peer_status(const std::string& node, const peer_rpc::PeerStatus& s) {
-  peers_[node] = {runtime_.now(), s};
-  state_store_.peer_use(node, s.use);
+void PartitionLeader::tick() {
+  workers_.tick();
+  claims_.claim_vacant();
+  handover_.fail_back();
+  // Peers should know that we have lost our workers before they see the key go.
+  if (handover_.relinquish_if_workers_lost()) status_sent_at_ = 0;
+  if (const auto request = votes_.next_request(led_.fencing_tokens())) hooks_.broadcast(*request);
+  router_.release_held();
+  for (auto& [partition, led] : led_)
+    if (led.active) tick_partition(led);
+  if (runtime_.now() - status_sent_at_ >= k::kStatusEveryMs) broadcast_status();
+}
+
+void PartitionLeader::tick_partition(LedPartition& led) {
+  machines_.expire_leases(led);
+  if (!led_.acting(led.scheduler->index())) {
+    // Not entitled at the moment: those who wait are sent on, nothing is started.
+    const auto deferred = std::exchange(led.deferred, {});
+    for (const auto& [machine, waiting] : deferred)
+      waiting.reply(http_status::kServiceUnavailable, "");
+    return;
+  }
+  commands_.send_kills(led);
+  commands_.answer_deferred(led);
+  persistence_.tick(led);
 }
 
-void PartitionLeader::tick() {
-  probe_workers();
-  claim_vacant_partitions();
-  fail_back();
-  relinquish_if_workers_lost();
-  request_votes();
-  release_held_heartbeats();
+void PartitionLeader::broadcast_status() {
   const Ms now = runtime_.now();
-  for (auto& [partition, o] : led_partitions_) {
-    if (!o.active) continue;
-    const bool acts = acting(partition);
-    for (const auto& id : o.core->tick(now)) {
-      if (!acts) continue;  // they send heartbeats to somebody else
-      ++counters_.lease_expiries;
-      spdlog::info("machine lost machine={} partition={} fencing_token={} proof=lease-expiry", id,
-                   partition, o.core->fencing_token_of(id));
-    }
-    if (!acts) {
-      // Not entitled at the moment: those who wait are sent on, nothing is started.
-      auto deferred = std::move(o.deferred);
-      o.deferred.clear();
-      for (auto& [id, p] : deferred) p.reply(503, "");
-      continue;
-    }
-    send_kills(o);
-    answer_deferred(o);
-    persist(partition, o);
-  }
-  if (now - last_status_ >= k::kStatusEveryMs) {
-    last_status_ = now;
-    peer_rpc::PeerStatus s;
-    for (const auto& [partition, o] : led_partitions_)
-      if (acting(partition)) s.partition_loads.emplace_back(partition, o.core->load(now));
-    s.use = state_store_.use();
-    s.hears_workers = hears_workers();
-    s.features = k::kFeatures;
-    s.conversion = conversion();
-    hooks_.broadcast(s);
-  }
+  status_sent_at_ = now;
+  peer_rpc::PeerStatus status;
+  for (const auto& [partition, led] : std::as_const(led_))
+    if (led_.acting(partition))
+      status.partition_loads.emplace_back(partition, led.scheduler->load(now));
+  status.use = state_store_.use();
+  status.hears_workers = workers_.hears_workers();
+  status.features = k::kFeatures;
+  status.conversion = conversion();
+  hooks_.broadcast(status);
 }
 
 }  // namespace eiderreel
--- a/src/leadership/progress_plan.cc
+++ b/src/leadership/progress_plan.cc
@@ -1,3 +1,4 @@
+// Which values hold the progress of an array, and which of them a commit should write.
 #include "leadership/progress_plan.h"
 
 #include <algorithm>
@@ -100,7 +101,7 @@
   // What goes is in other values by then, or with the same commit: there is room for it only once
   // all values are written.
   for (const auto& [key, stored] : job.stored) {
-    if (batch.writes.size() + batch.deletes.size() == most) break;
+    if (batch.size() == most) break;
     if (!stored.unreadable && stored.form != to && !kept.count(key)) batch.deletes.push_back(key);
   }
   return batch;
--- /dev/null
+++ b/src/leadership/worker_commands.cc
@@ -0,0 +1,85 @@
+// How commands reach the workers: in the reply to a heartbeat, at once or deferred, or by a request
+// to the worker.
+#include "leadership/worker_commands.h"
+
+#include <spdlog/spdlog.h>
+
+#include <utility>
+
+#include "codec/worker_json.h"
+#include "runtime/http_status.h"
+
+namespace eiderreel {
+
+namespace k = constants;
+
+void WorkerCommands::reply_to_heartbeat(LedPartition& led, const std::string& machine,
+                                        const std::vector<Command>& commands, const Reply& reply) {
+  PartitionScheduler& scheduler = *led.scheduler;
+  counters_.preemptions += scheduler.take_preemptions();
+  const std::uint64_t fencing_token = scheduler.fencing_token_of(machine);
+  for (const auto& command : commands) {
+    if (command.type != CommandType::launch) continue;
+    ++counters_.starts;
+    spdlog::debug("task start job={} task={} attempt={} machine={} fencing_token={}", command.job,
+                  command.index, command.attempt, machine, fencing_token);
+  }
+  scheduler.heartbeat_answered(machine, runtime_.now());
+  reply(http_status::kOk, codec::heartbeat_reply_body(fencing_token, commands));
+}
+
+// Invariant 6, guard: a process that has stood still finds changes of the state store before its
+// own tick, and the lease may be over by then. The deferred machines are looked at one by one.
+void WorkerCommands::answer_deferred(LedPartition& led) {
+  PartitionScheduler& scheduler = *led.scheduler;
+  if (!led_.acting(scheduler.index())) return;
+  const Ms now = runtime_.now();
+  const bool has_waiting = scheduler.has_waiting();
+  std::vector<std::string> machines;
+  for (const auto& [machine, waiting] : led.deferred) machines.push_back(machine);
+  if (has_waiting) machines = scheduler.fullest_first(std::move(machines));
+  std::vector<std::pair<std::string, std::vector<Command>>> ready;
+  for (const auto& machine : machines) {
+    auto starts = has_waiting ? scheduler.place_tasks(machine, now) : std::vector<Command>{};
+    if (!starts.empty() || led.deferred.at(machine).until <= now)
+      ready.emplace_back(machine, std::move(starts));
+  }
+  for (const auto& [machine, starts] : ready)
+    reply_to_heartbeat(led, machine, starts, led.take_deferred(machine));
+}
+
+// Invariant 6: without a lease the kills are kept until the leader is sure of it again, or drops
+// the partition.
+void WorkerCommands::send_kills(LedPartition& led) {
+  if (!led_.acting(led.scheduler->index())) return;
+  for (const auto& kill : led.scheduler->take_kills()) {
+    // A worker that waits for its reply hears of the kill there; the others by /commands.
+    if (const auto reply = led.take_deferred(kill.machine))
+      reply_to_heartbeat(led, kill.machine, kill.commands, reply);
+    else
+      request_kill(led.term(), kill);
+  }
+}
+
+// The next heartbeat tells what came of the request. A worker that does not answer may be unable to
+// send to us, and then hears of the kill in no other way.
+void WorkerCommands::request_kill(const LeadershipTerm& term,
+                                  const PartitionScheduler::KillBatch& kill) {
+  runtime_.http({kill.addr, "POST", "/commands",
+                 codec::commands_body(kill.fencing_token, kill.incarnation, kill.commands),
+                 k::kCommandTimeoutMs, true},
+                [this, term, machine = kill.machine](const HttpReply& reply) {
+                  if (reply.status == http_status::kNoAnswer) retry_kills(term, machine);
+                });
+}
+
+void WorkerCommands::retry_kills(const LeadershipTerm& term, const std::string& machine) {
+  runtime_.after(k::kRetryMs, [this, term, machine] {
+    LedPartition* led = led_.find(term);
+    if (!led || !led_.acting(term.partition)) return;
+    led->scheduler->retry_kills(machine);
+    send_kills(*led);
+  });
+}
+
+}  // namespace eiderreel
