--- a/src/api/job_admission.cc
+++ b/src/api/job_admission.cc
@@ -45,7 +45,7 @@
 void JobAdmission::check_prerequisites(const Pending& p) {
   auto unknown = unknown_prerequisites(p->job);
   if (unknown.empty()) return write(p);
-  state_store_.read_ends(std::move(unknown), [this, p](bool read) {
+  state_store_.read_ends(std::move(unknown), [this, p](const StoreResult<void>& read) {
     if (!read) return end(p, AdmissionResult::unconfirmed);
     check_accepted(p);
   });
@@ -55,7 +55,7 @@
   auto asked = unknown_prerequisites(p->job);
   if (asked.empty()) return write(p);
   asked.push_back(p->job.id);
-  state_store_.find_accepted(asked, [this, p, asked](std::optional<std::set<std::string>> found) {
+  state_store_.find_accepted(asked, [this, p, asked](const auto& found) {
     if (!found) return end(p, AdmissionResult::unconfirmed);
     // A job that was accepted with other prerequisites is not refused for these.
     if (found->count(p->job.id)) return end(p, AdmissionResult::known);
--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -178,7 +178,8 @@
 // is as new as the question can tell. Its leader may not know yet what this view knows of a
 // cancelled prerequisite, so that is told by the leader alone, or by the job's own final record.
 void JobApi::reply_waiting(const std::string& id, const Reply& reply) {
-  state_store_.catch_up([this, id, asked_at = runtime_.now(), reply](bool caught_up) {
+  state_store_.catch_up([this, id, asked_at = runtime_.now(),
+                         reply](const StoreResult<void>& caught_up) {
     const ClusterView& v = state_store_.view();
     const bool ended = v.finals.count(id) > 0;
     if (!ended && (!caught_up || !v.jobs.count(id) || v.dependencies.cancelled(id) ||
--- /dev/null
+++ b/src/state_store/controller_lease.h
@@ -0,0 +1,53 @@
+// This controller's lease at the state store.
+#pragma once
+#include <cstdint>
+#include <functional>
+#include <utility>
+
+#include "config/settings.h"
+#include "constants.h"
+#include "runtime/runtime.h"
+#include "state_store/replicated_view.h"
+#include "state_store/request_queue.h"
+
+namespace eiderreel {
+
+/// Acquires this controller's lease, renews it, and tells when it is lost. The keys bound to it,
+/// such as its partitions, are removed when it ends.
+class ControllerLease {
+ public:
+  ControllerLease(Runtime& runtime, const Settings& settings, RequestQueue& requests,
+                  ReplicatedView& replica)
+      : runtime_(runtime), settings_(settings), requests_(requests), replica_(replica) {}
+  /// `lost` is called each time the state store says that the lease has ended.
+  void start(std::function<void()> lost) { on_lost_ = std::move(lost); }
+  /// Acquires the lease or renews it, when that is due.
+  void tick();
+
+  /// 0: there is none.
+  std::uint64_t id() const { return id_; }
+  /// Invariant 6: counted from the sending of the last good renewal, less drift.
+  bool alive() const { return id_ != 0 && runtime_.now() < valid_until_; }
+
+ private:
+  std::uint64_t earlier_lease() const;
+  void acquire();
+  void revoke_earlier(std::uint64_t lease_id);
+  void request_lease();
+  void renew();
+  void on_renewal_reply(std::uint64_t lease_id, Ms sent, int status);
+  void lose();
+
+  Runtime& runtime_;
+  const Settings& settings_;
+  RequestQueue& requests_;
+  ReplicatedView& replica_;
+  std::function<void()> on_lost_;
+  std::uint64_t id_ = 0;
+  Ms valid_until_ = 0;
+  Ms last_renewal_ = 0;  // when it was sent
+  bool acquiring_ = false;
+  bool renewing_ = false;
+};
+
+}  // namespace eiderreel
--- a/src/state_store/rate_limiter.cc
+++ b/src/state_store/rate_limiter.cc
@@ -1,3 +1,4 @@
+// Token buckets over this controller's part of the state store's limits.
 #include "state_store/rate_limiter.h"
 
 #include <algorithm>
@@ -9,7 +10,9 @@
 
 void RateLimiter::TokenBucket::set_up(double limit, double controllers) {
   total = limit * k::kBudgetShare;
-  even = rate = tokens = total / controllers;
+  even = total / controllers;
+  rate = even;
+  tokens = even;
 }
 
 void RateLimiter::TokenBucket::refill(double seconds, double unused) {
@@ -18,19 +21,19 @@
   used *= std::exp(-seconds * 1000.0 / k::kUseMs);
 }
 
-void RateLimiter::TokenBucket::take(double n) {
-  tokens -= n;
-  used += n * 1000.0 / k::kUseMs;
+void RateLimiter::TokenBucket::take(double count) {
+  tokens -= count;
+  used += count * 1000.0 / k::kUseMs;
 }
 
-RateLimiter::RateLimiter(const Settings& s) {
-  const double controllers = static_cast<double>(s.peers.size() + 1);
-  requests_.set_up(s.state_rps, controllers);
-  changes_.set_up(s.state_write_rps, controllers);
+RateLimiter::RateLimiter(const Settings& settings) {
+  const auto controllers = static_cast<double>(settings.peers.size() + 1);
+  requests_.set_up(settings.state_rps, controllers);
+  changes_.set_up(settings.state_write_rps, controllers);
 }
 
 void RateLimiter::set_peer_use(const std::string& node, const StoreUsage& use, Ms now) {
-  peers_[node] = {now, use};
+  peers_[node] = {.at = now, .use = use};
 }
 
 // A controller that is not heard of may use all of its part. Of what the others leave, an even
@@ -56,9 +59,9 @@
   if (requests_.tokens - 1 < -debt * (requests_.total - requests_.even)) return false;
   if (changes == 0) return true;
   const double want = std::min<double>(changes, changes_.rate - 0.5);
-  const double keep =
+  const double reserve =
       request_priority == RequestPriority::progress ? changes_.even * k::kProgressKeep : 0;
-  return changes_.tokens - want - std::min(keep, changes_.rate - 0.5 - want) >=
+  return changes_.tokens - want - std::min(reserve, changes_.rate - 0.5 - want) >=
          -debt * (changes_.total - changes_.even);
 }
 
--- /dev/null
+++ b/src/state_store/request_queue.cc
@@ -0,0 +1,97 @@
+// Queues the requests to the state store, and retries those that it refuses over its limit.
+#include "state_store/request_queue.h"
+
+#include <algorithm>
+#include <iterator>
+#include <memory>
+#include <utility>
+
+#include "runtime/http_status.h"
+
+namespace eiderreel {
+
+namespace k = constants;
+
+namespace {
+
+// Any reply but these shows that the state store serves this controller.
+bool is_executed(int status) {
+  return status != http_status::kNoAnswer && status != http_status::kServiceUnavailable &&
+         status != http_status::kTooManyRequests;
+}
+
+}  // namespace
+
+// More than can be served while it waits would only be refused later.
+bool RequestQueue::is_full() const {
+  const double most = std::max(k::kPendingLeast, settings_.state_rps * k::kStateTimeoutMs / 1000);
+  return static_cast<double>(queue_.size()) >= most;
+}
+
+void RequestQueue::submit(StoreRequest request) {
+  if (request.priority != RequestPriority::urgent && is_full()) {
+    refuse(std::move(request.done));
+    return;
+  }
+  HttpRequest http{.addr = settings_.state_addr,
+                   .method = std::move(request.method),
+                   .path = std::move(request.path),
+                   .body = std::move(request.body),
+                   .timeout = request.timeout};
+  enqueue({.request = std::move(http),
+           .changes = request.changes,
+           .priority = request.priority,
+           .expires = runtime_.now() + request.timeout,
+           .done = std::move(request.done)});
+}
+
+void RequestQueue::enqueue(Pending pending) {
+  auto position = queue_.end();
+  while (position != queue_.begin() && std::prev(position)->priority > pending.priority) --position;
+  queue_.insert(position, std::move(pending));
+  send_allowed();
+}
+
+// The request was not sent, so nothing was done. The caller hears of it after its own call has
+// returned, as of any other reply.
+void RequestQueue::refuse(std::function<void(const HttpReply&)> done) {
+  ++counters_.refused_here;
+  runtime_.after(
+      0, [done = std::move(done)] { done({.status = http_status::kTooManyRequests, .body = ""}); });
+}
+
+void RequestQueue::send_allowed() {
+  const Ms now = runtime_.now();
+  rate_limiter_.refill(now);
+  while (!queue_.empty()) {
+    Pending& front = queue_.front();
+    if (front.expires <= now && front.priority != RequestPriority::urgent) {
+      auto done = std::move(front.done);
+      queue_.pop_front();
+      refuse(std::move(done));
+      continue;
+    }
+    if (!rate_limiter_.allows(front.priority, front.changes)) return;
+    rate_limiter_.take(front.changes);
+    Pending next = std::move(front);
+    queue_.pop_front();
+    send(std::move(next));
+  }
+}
+
+void RequestQueue::send(Pending pending) {
+  auto sent = std::make_shared<Pending>(std::move(pending));
+  runtime_.http(sent->request, [this, sent](const HttpReply& reply) {
+    ++counters_.replies[reply.status];
+    if (is_executed(reply.status)) last_good_ = runtime_.now();
+    // Over the limit after all: nothing was done, so it may go again as it is.
+    if (reply.status == http_status::kTooManyRequests && sent->priority == RequestPriority::user &&
+        runtime_.now() < sent->expires) {
+      runtime_.after(k::kOverLimitMs, [this, sent] { enqueue(std::move(*sent)); });
+      return;
+    }
+    sent->done(reply);
+  });
+}
+
+}  // namespace eiderreel
--- /dev/null
+++ b/src/state_store/standby_monitor.cc
@@ -0,0 +1,18 @@
+// Whether this controller stands by, because it cannot act under the durable cluster version.
+#include "state_store/standby_monitor.h"
+
+#include <spdlog/spdlog.h>
+
+namespace eiderreel {
+
+void StandbyMonitor::update(const upgrade::ClusterState& cluster) {
+  std::string reason = acting_version_.obstacle(cluster);
+  if (reason == reason_) return;
+  reason_ = std::move(reason);
+  if (reason_.empty())
+    spdlog::info("version ok node={}", node_);
+  else
+    spdlog::error("standby node={} reason=\"{}\"", node_, reason_);
+}
+
+}  // namespace eiderreel
--- a/src/state_store/state_store_client.h
+++ b/src/state_store/state_store_client.h
@@ -1,165 +1,117 @@
-// The state store client: all dealings with the state store. It owns this node's lease, the
-// replica of every key under `e/`, and the requests that wait for the rate limiter.
+// The state store client: all dealings with the state store. The other folders include this header
+// alone; the parts behind it have one job each.
 #pragma once
-#include <deque>
+#include <cstddef>
+#include <cstdint>
 #include <functional>
-#include <map>
-#include <memory>
 #include <set>
 #include <string>
+#include <vector>
 
 #include "codec/state_json.h"
 #include "config/settings.h"
+#include "constants.h"
 #include "runtime/runtime.h"
+#include "state_store/cluster_view.h"
+#include "state_store/compare_and_swap.h"
+#include "state_store/compare_and_swapper.h"
+#include "state_store/controller_lease.h"
+#include "state_store/node_record_writer.h"
+#include "state_store/nonce_source.h"
+#include "state_store/prerequisite_resolver.h"
 #include "state_store/rate_limiter.h"
 #include "state_store/replicated_view.h"
+#include "state_store/request_queue.h"
+#include "state_store/revision_waiters.h"
+#include "state_store/standby_monitor.h"
+#include "state_store/store_error.h"
+#include "state_store/store_reader.h"
+#include "state_store/store_watcher.h"
+#include "versioning/acting_version.h"
 
 namespace eiderreel {
 
-enum class CasOutcome {
-  ok,          // it is durable
-  conflict,    // a guard failed: nothing was done, and nothing will be
-  superseded,  // a guard on an absent key failed after a try without answer: somebody else's write
-               // stands there, but that try may still land once the key is gone
-  refused,     // nothing was done
-  unknown,     // it may have been done, or may still be
-};
-
-// How a commit is bound to the version that its controller acts under, see upgrade::ActingVersion.
-enum class VersionBinding {
-  current,     // to the one at its sending; after a change of version it is sent again
-  as_encoded,  // its values depend on the version, so it is never sent under another
-  explicit_,   // its own preconditions say it all
-};
-
-struct CompareAndSwap {
-  std::vector<codec::Precondition> preconditions;
-  std::vector<codec::Write> writes;  // the first one puts a value with the nonce of this commit
-  std::string nonce;
-  RequestPriority request_priority = RequestPriority::user;
-  int tries = constants::kCommitTries;
-  std::function<void(CasOutcome, std::uint64_t store_revision)> done;
-  // A try of it is without answer. A later try that is refused says nothing of that one, so
-  // whoever tries again after `unknown` sends this same commit with its doubt kept.
-  bool doubt = false;
-  VersionBinding binding = VersionBinding::current;
-  std::uint64_t encoded_under = 0;  // the revision of the controller's record; see `as_encoded`
-};
-
+/// The facade of this folder. It owns this node's lease, the replica of every followed key, and the
+/// requests that wait for the rate limiter.
 class StateStoreClient {
  public:
-  struct Counters {
-    std::map<int, std::uint64_t> replies;  // by status, 0: none
-    std::uint64_t refused_here = 0;        // over our own budget
-  };
+  using Counters = RequestQueue::Counters;
 
   StateStoreClient(Runtime& runtime, const Settings& settings);
+  // The parts refer to each other, so they stay where they are.
+  StateStoreClient(const StateStoreClient&) = delete;
+  StateStoreClient(StateStoreClient&&) = delete;
+  StateStoreClient& operator=(const StateStoreClient&) = delete;
+  StateStoreClient& operator=(StateStoreClient&&) = delete;
+  ~StateStoreClient() = default;
+
+  /// Begins to follow the state store. `lease_lost` is called each time this node's lease has
+  /// ended.
   void start(ReplicatedView::Events events, std::function<void()> lease_lost);
+  /// All periodic work, every constants::kTickMs.
   void tick();
 
+  /// What this node knows of the followed keys.
   const ClusterView& view() const { return replica_.view(); }
   ReplicatedView& replica() { return replica_; }
   const ReplicatedView& replica() const { return replica_; }
-  std::uint64_t lease_id() const { return lease_id_; }
-  // Invariant 6: counted from the sending of the last good extend, less drift.
-  bool lease_alive() const { return lease_id_ != 0 && runtime_.now() < lease_valid_until_; }
-  Ms last_good() const { return last_good_; }
+  /// The lease of this node; 0: there is none.
+  std::uint64_t lease_id() const { return lease_.id(); }
+  /// Invariant 6: whether the lease is surely alive.
+  bool lease_alive() const { return lease_.alive(); }
+  /// When the state store last executed a request of this node.
+  Ms last_good() const { return requests_.last_good(); }
+  /// The cluster version that this controller acts under.
   const upgrade::ActingVersion& acting_version() const { return acting_version_; }
+  /// How progress is stored under that version.
   upgrade::ProgressPolicy progress_policy() const {
     return upgrade::progress_policy(acting_version_.version());
   }
-  // Why this controller must not act at all; empty: it may.
+  /// Why this controller must not act at all; empty: it may.
   std::string standby_reason() const { return acting_version_.obstacle(view().cluster); }
-  // Marks a value as written by this process.
-  std::string nonce();
+  /// Marks a value as written by this process.
+  std::string nonce() { return nonces_.next(); }
 
-  void compare_and_swap(CompareAndSwap c);
-  // Linearizable read. `row.revision` 0: the key does not exist. Fails with nullopt.
-  void read(const std::string& key, std::function<void(std::optional<codec::StateRow>)> done);
-  void list(const std::string& prefix,
-            std::function<void(std::optional<std::vector<codec::StateRow>>)> done);
-  // Reads the final records of these jobs into the view, as far as there are any; false: some could
-  // not be read.
-  void read_ends(std::vector<std::string> ids, std::function<void(bool)> done);
-  // Which of these jobs were ever accepted; nullopt when the state store does not tell.
-  void find_accepted(std::vector<std::string> ids,
-                     std::function<void(std::optional<std::set<std::string>>)> done);
-  // Calls back once the view has all changes that were made before this call; false when the state
-  // service does not tell.
-  void catch_up(std::function<void(bool)> done);
-  // Calls back once the view has all changes up to `store_revision`.
+  /// Carries out a transaction, see CompareAndSwap.
+  void compare_and_swap(CompareAndSwap transaction);
+  /// Linearizable read of one key. A row of revision 0: the key does not exist.
+  void read(const std::string& key, StoreCallback<codec::StateRow> done);
+  /// Every key under `prefix`, in the order of the keys.
+  void list(const std::string& prefix, StoreCallback<std::vector<codec::StateRow>> done);
+  /// Reads the final records of these jobs into the view, as far as there are any. With an error
+  /// some of them could not be read.
+  void read_ends(std::vector<std::string> ids, StoreCallback<void> done);
+  /// Which of these jobs were ever accepted.
+  void find_accepted(std::vector<std::string> ids, StoreCallback<std::set<std::string>> done);
+  /// Calls back once the view has all changes that were made before this call.
+  void catch_up(const StoreCallback<void>& done) { reader_.catch_up(done); }
+  /// Calls back once the view has all changes up to `store_revision`.
   void when_applied(std::uint64_t store_revision, std::function<void()> done);
-  // What this node takes of the budgets, for its peers; and what a peer has said that it takes.
+
+  /// What this node takes of the rate limits, for its peers.
   StoreUsage use() const { return rate_limiter_.use(); }
+  /// What a peer has said that it takes.
   void peer_use(const std::string& node, const StoreUsage& use);
-  const Counters& counters() const { return counters_; }
-  std::size_t pending() const { return queue_.size(); }
+  const Counters& counters() const { return requests_.counters(); }
+  /// How many requests wait for the rate limiter.
+  std::size_t pending() const { return requests_.size(); }
 
  private:
-  struct Pending {
-    HttpRequest request;
-    int writes = 0;
-    RequestPriority request_priority = RequestPriority::user;
-    Ms expires = 0;
-    std::function<void(HttpReply)> done;
-  };
-  struct Comparison {  // the answer to a transaction without writes
-    std::vector<std::string> failed;
-    std::uint64_t store_revision = 0;
-  };
-  void compare(std::vector<codec::Precondition> preconditions, RequestPriority request_priority,
-               std::function<void(std::optional<Comparison>)> done);
-  void resolve();
-  void read_next_ends(std::shared_ptr<std::vector<std::string>> ids,
-                      std::function<void(bool)> done);
-  void find_next_accepted(std::shared_ptr<std::vector<std::string>> ids, std::size_t from,
-                          std::shared_ptr<std::set<std::string>> found,
-                          std::function<void(std::optional<std::set<std::string>>)> done);
-  void submit(Pending p);
-  void enqueue(Pending p);
-  void send_queued_requests();
-  Ms watch_pause() const;
-  void acquire_lease();
-  void renew_lease();
-  void begin_watch();
-  void load(std::size_t prefix, std::string since);
-  void watch(Ms wait);
-  void try_swap(std::shared_ptr<CompareAndSwap> c, int tries);
-  void on_swap_reply(const std::shared_ptr<CompareAndSwap>& c, int tries,
-                     const std::optional<codec::Precondition>& guard, const HttpReply& r);
-  bool is_bound(const CompareAndSwap& c) const;
-  codec::Precondition version_precondition(const CompareAndSwap& c) const;
-  void try_without_record(const std::shared_ptr<CompareAndSwap>& c, int tries);
-  void version_changed(const std::shared_ptr<CompareAndSwap>& c, int tries,
-                       std::uint64_t guard_revision);
-  void log_standby();
-  void write_node_record();
-  void read_back(std::shared_ptr<CompareAndSwap> c, std::uint64_t store_revision, int tries);
-  void list_from(const std::string& prefix, const std::string& since,
-                 std::shared_ptr<std::vector<codec::StateRow>> rows,
-                 std::function<void(std::optional<std::vector<codec::StateRow>>)> done);
-  void notify_revision_waiters();
-
   Runtime& runtime_;
-  const Settings& settings_;
+  // Each part refers to some of those above it.
   ReplicatedView replica_;
-  std::function<void()> on_lease_lost_;
-  std::uint64_t lease_id_ = 0;
-  Ms lease_valid_until_ = 0, last_renewal_ = 0, last_good_ = 0;
-  bool acquiring_lease_ = false, renewing_lease_ = false, node_written_ = false,
-       writing_node_ = false;
-  bool resolving_ = false;
-  Ms resolve_at_ = 0;
   upgrade::ActingVersion acting_version_;
-  std::string logged_standby_reason_;  // what was last logged of it
-  std::uint64_t watch_revision_ = 0;
-  std::set<std::string> loaded_;  // keys met while listing anew
-  std::deque<Pending> queue_;
+  NonceSource nonces_;
   RateLimiter rate_limiter_;
-  int in_flight_ = 0;
-  std::uint64_t nonce_counter_ = 0;
-  std::multimap<std::uint64_t, std::function<void()>> revision_waiters_;
-  Counters counters_;
+  RequestQueue requests_;
+  RevisionWaiters waiters_;
+  ControllerLease lease_;
+  StoreReader reader_;
+  StoreWatcher watcher_;
+  PrerequisiteResolver prerequisite_resolver_;
+  StandbyMonitor standby_;
+  CompareAndSwapper swapper_;
+  NodeRecordWriter node_record_writer_;
 };
 
 }  // namespace eiderreel
--- /dev/null
+++ b/src/state_store/store_error.cc
@@ -0,0 +1,68 @@
+// Classifies failed requests to the state store and describes them.
+#include "state_store/store_error.h"
+
+#include <utility>
+
+#include "runtime/http_status.h"
+
+namespace eiderreel {
+namespace {
+
+StoreErrorKind kind_of(int status) {
+  switch (status) {
+    case http_status::kNoAnswer:
+      return StoreErrorKind::no_answer;
+    case http_status::kOk:
+      return StoreErrorKind::malformed_reply;  // a good status, so its body was of no use
+    case http_status::kTooManyRequests:
+      return StoreErrorKind::throttled;
+    case http_status::kServiceUnavailable:
+      return StoreErrorKind::unavailable;
+    default:
+      return leaves_in_doubt(status) ? StoreErrorKind::server_error : StoreErrorKind::rejected;
+  }
+}
+
+}  // namespace
+
+bool leaves_in_doubt(int status) {
+  if (status == http_status::kNoAnswer) return true;
+  return status >= http_status::kServerError && status != http_status::kServiceUnavailable;
+}
+
+StoreError error_of_reply(int status, std::string operation, std::string key) {
+  return {.kind = kind_of(status),
+          .http_status = status,
+          .operation = std::move(operation),
+          .key = std::move(key)};
+}
+
+std::string to_string(StoreErrorKind kind) {
+  switch (kind) {
+    case StoreErrorKind::no_answer:
+      return "no answer";
+    case StoreErrorKind::unavailable:
+      return "unavailable";
+    case StoreErrorKind::throttled:
+      return "throttled";
+    case StoreErrorKind::server_error:
+      return "server error";
+    case StoreErrorKind::rejected:
+      return "rejected";
+    case StoreErrorKind::malformed_reply:
+      return "malformed reply";
+    case StoreErrorKind::replica_behind:
+      return "replica behind";
+  }
+  return "unknown error";
+}
+
+std::string to_string(const StoreError& error) {
+  std::string text = error.operation;
+  if (!error.key.empty()) text += " " + error.key;
+  text += ": " + to_string(error.kind);
+  if (error.http_status != 0) text += " (status " + std::to_string(error.http_status) + ")";
+  return text;
+}
+
+}  // namespace eiderreel
--- /dev/null
+++ b/src/state_store/store_watcher.h
@@ -0,0 +1,54 @@
+// Brings the replica up to date: lists the followed keys, then follows their changes.
+#pragma once
+#include <cstddef>
+#include <cstdint>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "codec/state_json.h"
+#include "config/settings.h"
+#include "constants.h"
+#include "runtime/runtime.h"
+#include "state_store/rate_limiter.h"
+#include "state_store/replicated_view.h"
+#include "state_store/request_queue.h"
+#include "state_store/revision_waiters.h"
+#include "state_store/store_reader.h"
+
+namespace eiderreel {
+
+/// Lists every followed key into the replica, and then follows the changes. When changes were
+/// missed, it lists the keys again.
+class StoreWatcher {
+ public:
+  /// What it works with; all of it outlives it.
+  struct Parts {
+    Runtime& runtime;
+    const Settings& settings;
+    const RateLimiter& rate_limiter;
+    RequestQueue& requests;
+    StoreReader& reader;
+    ReplicatedView& replica;
+    RevisionWaiters& waiters;
+  };
+  explicit StoreWatcher(const Parts& parts);
+
+  /// Begins with listing the keys.
+  void start();
+
+ private:
+  void load_page(std::size_t prefix_index, const std::string& after);
+  void on_page(std::size_t prefix_index, const codec::StateList& page);
+  void watch(Ms wait);
+  void on_watch_reply(const HttpReply& reply);
+  void apply_changes(const codec::StateList& changes);
+  Ms pause() const;
+
+  Parts parts_;
+  std::vector<std::string> prefixes_;  // listed in this order
+  std::uint64_t revision_ = 0;         // changes are followed from here
+  std::set<std::string> loaded_;       // keys met while listing
+};
+
+}  // namespace eiderreel
--- a/src/upgrade/coordinator.cc
+++ b/src/upgrade/coordinator.cc
@@ -122,7 +122,7 @@
       if (!state_store_.view().jobs.count(job)) unknown.insert(std::move(job));
     }
     state_store_.read_ends({unknown.begin(), unknown.end()},
-                           [this, done, rows = std::move(*rows)](bool read) {
+                           [this, done, rows = std::move(*rows)](const StoreResult<void>& read) {
                              if (!read) return done(std::nullopt);
                              done(count_progress(rows));
                            });
@@ -205,7 +205,7 @@
   const StepOrder& order = step->order;
   CompareAndSwap c;
   c.nonce = state_store_.nonce();
-  c.binding = VersionBinding::explicit_;
+  c.binding = VersionBinding::by_preconditions;
   c.tries = k::kStepTries;
   c.preconditions = step->preconditions;
   const Ms now = runtime_.wall();
