--- a/src/state_store/store_http.h
+++ b/src/state_store/store_http.h
@@ -13,9 +13,6 @@
 /// POST: a new lease.
 inline constexpr const char* kLeasesPath = "/grants";
 
-/// In replies: the revision of the newest change.
-/// In replies: the id of a lease.
-
 /// DELETE: ends a lease at once.
 std::string lease_path(std::uint64_t lease_id);
 /// POST: gives a lease its full time again.
