--- a/src/api/job_admission.cc
+++ b/src/api/job_admission.cc
@@ -1,12 +1,19 @@
+// Admission of jobs: the checks of prerequisites and the commit of the record.
 #include "api/job_admission.h"
 
 #include <spdlog/spdlog.h>
 
 #include <utility>
 
+#include "api/value_limit.h"
+
 namespace eiderreel {
 
-namespace k = constants;
+namespace {
+
+AdmissionResult failed(AdmissionFailure failure) { return tl::make_unexpected(failure); }
+
+}  // namespace
 
 void JobAdmission::accept(JobSpec job, Done done) {
   if (job.prerequisites.empty()) {
@@ -14,53 +21,57 @@
     std::string value = codec::encode(job, nonce);
     return commit_record(job, std::move(value), nonce, {}, std::move(done));
   }
+  // Idempotent request: a repeated submission waits for the outcome of the one on its way.
   if (auto same = pending_.find(job.id); same != pending_.end())
     return same->second->waiting.push_back(std::move(done));
-  const Pending p = std::make_shared<Submission>();
-  p->job = std::move(job);
-  p->waiting.push_back(std::move(done));
-  pending_[p->job.id] = p;
-  check_prerequisites(p);
+  const auto submission = std::make_shared<Submission>();
+  submission->job = std::move(job);
+  submission->waiting.push_back(std::move(done));
+  pending_[submission->job.id] = submission;
+  check_prerequisites(submission);
 }
 
-void JobAdmission::end(const Pending& p, AdmissionResult admission) {
-  pending_.erase(p->job.id);
-  for (const Done& done : p->waiting) done(admission);
+void JobAdmission::end(const PendingSubmission& submission, const AdmissionResult& result) {
+  pending_.erase(submission->job.id);
+  for (const Done& done : submission->waiting) done(result);
 }
 
 // ------------------------------------------------------------------------- prerequisites
 
-// Those of which this node's view has neither a record nor an end. The job's own id is none that
-// was accepted, unless the job itself was, through another node.
+// Prerequisites of which this node's view has neither a record nor a final record. The job's own id
+// counts as unknown, unless the job itself was accepted through another node.
 std::vector<std::string> JobAdmission::unknown_prerequisites(const JobSpec& job) const {
-  const ClusterView& v = state_store_.view();
-  std::vector<std::string> out;
+  const ClusterView& view = state_store_.view();
+  std::vector<std::string> unknown;
   for (const auto& id : job.prerequisites)
-    if (!v.jobs.count(id) && !v.finals.count(id)) out.push_back(id);
-  return out;
+    if (!view.jobs.contains(id) && !view.finals.contains(id)) unknown.push_back(id);
+  return unknown;
 }
 
-// A view lags, and a node that has just started has read no ends: the state store is asked for
-// what is missing. Ends first, since what is done need not be kept in the record.
-void JobAdmission::check_prerequisites(const Pending& p) {
-  auto unknown = unknown_prerequisites(p->job);
-  if (unknown.empty()) return write(p);
-  state_store_.read_ends(std::move(unknown), [this, p](bool read) {
-    if (!read) return end(p, AdmissionResult::unconfirmed);
-    check_accepted(p);
+// A view lags, and a node that has just started has read no final records. So the state store is
+// asked for what is missing. Final records come first, since prerequisites that are done need not
+// be kept in the job's record.
+void JobAdmission::check_prerequisites(const PendingSubmission& submission) {
+  auto unknown = unknown_prerequisites(submission->job);
+  if (unknown.empty()) return write(submission);
+  state_store_.read_ends(std::move(unknown), [this, submission](const auto& read) {
+    if (!read) return end(submission, failed(AdmissionFailure::unconfirmed));
+    check_accepted(submission);
   });
 }
 
-void JobAdmission::check_accepted(const Pending& p) {
-  auto asked = unknown_prerequisites(p->job);
-  if (asked.empty()) return write(p);
-  asked.push_back(p->job.id);
-  state_store_.find_accepted(asked, [this, p, asked](std::optional<std::set<std::string>> found) {
-    if (!found) return end(p, AdmissionResult::unconfirmed);
-    // A job that was accepted with other prerequisites is not refused for these.
-    if (found->count(p->job.id)) return end(p, AdmissionResult::known);
-    if (found->size() + 1 < asked.size()) return end(p, AdmissionResult::unknown_prerequisite);
-    write(p);
+void JobAdmission::check_accepted(const PendingSubmission& submission) {
+  auto asked = unknown_prerequisites(submission->job);
+  if (asked.empty()) return write(submission);
+  asked.push_back(submission->job.id);
+  state_store_.find_accepted(asked, [this, submission, asked](const auto& found) {
+    if (!found) return end(submission, failed(AdmissionFailure::unconfirmed));
+    // Idempotent request: a job that was accepted is not refused for other prerequisites that a
+    // repeated submission names.
+    if (found->contains(submission->job.id)) return end(submission, Admission::known_before);
+    if (found->size() + 1 < asked.size())
+      return end(submission, failed(AdmissionFailure::unknown_prerequisite));
+    write(submission);
   });
 }
 
@@ -68,92 +79,56 @@
 
 // What is durably done is left out of the record. A cancelled prerequisite stays in it: with that
 // record the job is cancelled too.
-void JobAdmission::write(const Pending& p) {
+void JobAdmission::write(const PendingSubmission& submission) {
+  JobSpec& job = submission->job;
   const auto& finals = state_store_.view().finals;
-  std::erase_if(p->job.prerequisites, [&](const std::string& id) {
-    const auto end = finals.find(id);
-    return end != finals.end() && end->second.phase == JobPhase::done;
+  std::erase_if(job.prerequisites, [&](const std::string& id) {
+    const auto final_record = finals.find(id);
+    return final_record != finals.end() && final_record->second.phase == JobPhase::done;
   });
-  p->nonce = state_store_.nonce();
-  std::string value = codec::encode(p->job, p->nonce);
-  if (value.size() > value_limit() && !p->job.prerequisites.empty()) {
-    split(*p);
-    return write_chunks(p);
-  }
-  commit_record(p->job, std::move(value), p->nonce, {},
-                [this, p](AdmissionResult admission) { end(p, admission); });
-}
-
-void JobAdmission::split(Submission& submission) const {
-  codec::PrerequisiteChunk chunk;
-  std::size_t bytes = k::kRecordOverhead;
-  auto close = [&] {
-    submission.chunks.push_back(codec::encode(chunk, submission.nonce));
-    chunk.jobs.clear();
-    bytes = k::kRecordOverhead;
-  };
-  for (const auto& id : submission.job.prerequisites) {
-    const std::size_t size = id.size() + sizeof("\"\",") - 1;
-    if (bytes + size > value_limit()) close();
-    bytes += size;
-    chunk.jobs.push_back(id);
-  }
-  close();
+  const std::string nonce = state_store_.nonce();
+  std::string value = codec::encode(job, nonce);
+  if (value.size() > value_limit_bytes(settings_) && !job.prerequisites.empty())
+    return write_with_chunks(submission, nonce);
+  commit_record(job, std::move(value), nonce, {},
+                [this, submission](const AdmissionResult& result) { end(submission, result); });
 }
 
-// The chunks first, as many at once as a transaction takes; the job is accepted with its record,
-// the last key to be written. The record stands only beside its last chunk, which goes first
-// when chunks without a job are swept.
-void JobAdmission::write_chunks(const Pending& p) {
-  const JobSpec& job = p->job;
-  if (p->written == p->chunks.size()) {
-    const std::string last = codec::prerequisite_key(job.id, p->nonce, p->chunks.size() - 1);
-    return commit_record(job, codec::encode_with_chunks(job, p->chunks.size(), p->nonce), p->nonce,
-                         {{last, p->last_chunk_revision}},
-                         [this, p](AdmissionResult admission) { end(p, admission); });
-  }
-  CompareAndSwap c;
-  c.nonce = p->nonce;
-  std::size_t bytes = 0, next = p->written;
-  const auto most = static_cast<std::size_t>(settings_.batch());
-  while (next < p->chunks.size() && c.writes.size() < most &&
-         (c.writes.empty() || bytes + p->chunks[next].size() <= k::kTransactionBytes)) {
-    const std::string key = codec::prerequisite_key(job.id, p->nonce, next);
-    bytes += p->chunks[next].size();
-    c.preconditions.push_back({key, 0});
-    c.writes.push_back({key, p->chunks[next], false});
-    ++next;
-  }
-  c.done = [this, p, next](CasOutcome out, std::uint64_t revision) {
-    if (out != CasOutcome::ok) return end(p, AdmissionResult::unconfirmed);
-    p->written = next;
-    p->last_chunk_revision = revision;
-    write_chunks(p);
-  };
-  state_store_.compare_and_swap(std::move(c));
+// The chunks first: the job is accepted with its record, the last key to be written. The record is
+// committed only while its last chunk stands. When chunks without a job are swept, the last one is
+// deleted first.
+void JobAdmission::write_with_chunks(const PendingSubmission& submission,
+                                     const std::string& nonce) {
+  chunk_writer_.write(submission->job, nonce, [this, submission, nonce](const auto& chunks) {
+    if (!chunks) return end(submission, failed(AdmissionFailure::unconfirmed));
+    const JobSpec& job = submission->job;
+    commit_record(job, codec::encode_with_chunks(job, chunks->count, nonce), nonce, {chunks->last},
+                  [this, submission](const AdmissionResult& result) { end(submission, result); });
+  });
 }
 
-// Any node may accept: the preconditions say that nobody has, and that it was never over before.
+// Any node may accept a job. The preconditions say that no node has, and that it never ended.
 void JobAdmission::commit_record(const JobSpec& job, std::string value, std::string nonce,
                                  std::vector<codec::Precondition> preconditions, Done done) {
-  if (value.size() > value_limit()) return done(AdmissionResult::too_large);
-  CompareAndSwap c;
-  c.nonce = std::move(nonce);
-  c.preconditions = std::move(preconditions);
-  c.preconditions.insert(c.preconditions.begin(),
-                         {{codec::job_key(job.id), 0}, {codec::final_key(job.id), 0}});
-  c.writes = {{codec::job_key(job.id), std::move(value), false}};
-  c.done = [id = job.id, done = std::move(done)](CasOutcome out, std::uint64_t revision) {
-    if (out == CasOutcome::ok) {
+  if (value.size() > value_limit_bytes(settings_)) return done(failed(AdmissionFailure::too_large));
+  CompareAndSwap commit;
+  commit.nonce = std::move(nonce);
+  commit.preconditions = std::move(preconditions);
+  commit.preconditions.insert(commit.preconditions.begin(),
+                              {{codec::job_key(job.id), 0}, {codec::final_key(job.id), 0}});
+  commit.writes = {{codec::job_key(job.id), std::move(value), false}};
+  commit.done = [id = job.id, done = std::move(done)](CasOutcome outcome, std::uint64_t revision) {
+    if (outcome == CasOutcome::ok) {
       spdlog::info("job accepted job={} revision={}", id, revision);
-      return done(AdmissionResult::accepted);
+      return done(Admission::accepted);
     }
-    if (out == CasOutcome::conflict || out == CasOutcome::superseded)
-      return done(AdmissionResult::known);
-    spdlog::debug("job refused job={} outcome={}", id, static_cast<int>(out));
-    done(AdmissionResult::unconfirmed);
+    // Idempotent request: an earlier one has been accepted, here or through another node.
+    if (outcome == CasOutcome::conflict || outcome == CasOutcome::superseded)
+      return done(Admission::known_before);
+    spdlog::debug("job refused job={} outcome={}", id, static_cast<int>(outcome));
+    done(failed(AdmissionFailure::unconfirmed));
   };
-  state_store_.compare_and_swap(std::move(c));
+  state_store_.compare_and_swap(std::move(commit));
 }
 
 }  // namespace eiderreel
--- a/src/api/job_api.h
+++ b/src/api/job_api.h
@@ -1,72 +1,82 @@
-// The job API: what users ask of this node, whoever owns the partition in question.
+// The job API: what users ask of this node, whichever node leads the partition in question.
 #pragma once
+#include <cstdint>
+#include <functional>
 #include <map>
 #include <string>
+#include <utility>
+#include <vector>
 
-#include "api/job_admission.h"
+#include "api/job_submission.h"
+#include "api/user_request_metrics.h"
 #include "leadership/partition_leader.h"
-#include "observability/latency_histogram.h"
 #include "state_store/state_store_client.h"
 
 namespace eiderreel {
 
+/// Answers users' submissions, polls and cancellations. A job is looked up in the final records of
+/// the view, then at the leader of its partition, then in the state store.
 class JobApi {
  public:
+  /// What the API needs of the controller.
   struct Hooks {
-    // Sends a question to a peer over the peer links.
+    /// Sends a question to a peer over the peer links.
     std::function<void(const std::string& node, const peer_rpc::JobQuery&)> query_peer;
   };
-  struct Counters {
-    std::map<int, std::uint64_t> submits, polls, cancels;  // by status
-    LatencyHistogram submit_latency, poll_latency, cancel_latency;
-  };
+  using Counters = UserRequestMetrics::Counters;
 
   JobApi(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
          PartitionLeader& partition_leader);
+  /// Must be called before the first request.
   void start(Hooks hooks) { hooks_ = std::move(hooks); }
 
   // --- messages ---
+  /// POST /v1/jobs with this body.
   void submit(const std::string& body, Reply reply);
+  /// GET /v1/jobs/{id}.
   void poll(const std::string& id, Reply reply);
+  /// POST /v1/jobs/{id}/cancel.
   void cancel(const std::string& id, Reply reply);
+  /// A peer's answer to a question of ours; one that came too late is ignored.
   void on_query_reply(const peer_rpc::JobQueryReply& a);
-  void types_known(const std::vector<MachineType>& types) { types_ = types; }
+  /// The machine types of the cloud, each time they are read.
+  void types_known(const std::vector<MachineType>& types) { submission_.types_known(types); }
 
+  /// Whether this node can serve users.
   bool ready() const {
-    return state_store_.view().ready && !types_.empty() && state_store_.standby_reason().empty();
+    return state_store_.view().ready && submission_.knows_types() &&
+           state_store_.standby_reason().empty();
   }
-  const Counters& counters() const { return counters_; }
+  const Counters& counters() const { return metrics_.counters(); }
 
  private:
-  Reply counted(std::map<int, std::uint64_t>& by_status, LatencyHistogram& latency, Reply reply);
   // Asks the leader, here or over the peer links; status 0 when it cannot be had.
   void query_leader(const std::string& id, bool cancel, Reply reply);
+  void look_up_valid(const std::string& id, bool cancel, Reply reply);
   void look_up(const std::string& id, bool cancel, Reply reply);
-  void reply_final(const std::string& id, JobPhase phase, bool cancel, const Reply& reply) const;
+  static void reply_final(const std::string& id, JobPhase phase, bool cancel, const Reply& reply);
   // What is known of an open job, from a question that was asked at `asked_at`.
   struct OpenJobReply {
     Ms asked_at = 0;
     int status = 0;
     std::string body;
   };
+  static OpenJobReply queued_reply(const std::string& id, Ms asked_at);
   void reply_open(const std::string& id, bool cancel, OpenJobReply answer,
                   const Reply& reply) const;
   void read_open(const std::string& id, bool cancel, Reply reply);
+  void read_final(const std::string& id, bool cancel, const Reply& reply);
   void reply_waiting(const std::string& id, const Reply& reply);
-  void reply_admission(const std::string& id, AdmissionResult admission, const Reply& reply);
-  void refuse_if_unknown(const std::string& id, std::string error, Reply reply);
-  std::string can_never_run(const JobSpec& j) const;
 
   Runtime& runtime_;
   const Settings& settings_;
   StateStoreClient& state_store_;
   PartitionLeader& partition_leader_;
-  JobAdmission admission_;
+  UserRequestMetrics metrics_;
+  JobSubmission submission_;
   Hooks hooks_;
-  std::vector<MachineType> types_;
   std::uint64_t next_query_ = 0;
-  std::map<std::uint64_t, Reply> pending_queries_;
-  Counters counters_;
+  std::map<std::uint64_t, Reply> pending_queries_;  // by number
 };
 
 }  // namespace eiderreel
--- /dev/null
+++ b/src/api/value_limit.h
@@ -0,0 +1,15 @@
+// The limit of the state store on the size of a value.
+#pragma once
+#include <cstddef>
+
+#include "config/settings.h"
+
+namespace eiderreel {
+
+/// The largest value that the state store takes, in bytes.
+inline std::size_t value_limit_bytes(const Settings& settings) {
+  constexpr int kBytesPerKib = 1024;
+  return static_cast<std::size_t>(settings.state_value_kb * kBytesPerKib);
+}
+
+}  // namespace eiderreel
