--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -21,9 +21,8 @@
       state_store_(state_store),
       partition_leader_(partition_leader),
       metrics_(runtime),
-      submission_(
-          runtime, settings, state_store, partition_leader,
-          [this](const std::string& id, Reply reply) { look_up(id, false, std::move(reply)); }),
+      submission_(runtime, settings, state_store, partition_leader,
+                  [this](const std::string& id, const Reply& reply) { look_up(id, false, reply); }),
       // Answers may come late, even to a process started since: no number is used twice.
       next_query_(static_cast<std::uint64_t>(runtime.random() * kQueryNumberRange)) {}
 
@@ -41,21 +40,21 @@
   look_up_valid(id, true, metrics_.count_cancel(std::move(reply)));
 }
 
-void JobApi::look_up_valid(const std::string& id, bool cancel, Reply reply) {
+void JobApi::look_up_valid(const std::string& id, bool cancel, const Reply& reply) {
   if (!codec::valid_job_id(id)) return reply_error(reply, UserError::no_such_job);
   if (!state_store_.view().ready) return reply_error(reply, UserError::not_ready);
-  look_up(id, cancel, std::move(reply));
+  look_up(id, cancel, reply);
 }
 
 // -------------------------------------------------------------------------------- lookup
 
 // Invariant 8: what is final stays so and may be told from the cache. For an open job only its
 // leader, while its lease is alive, or the state store itself can speak.
-void JobApi::look_up(const std::string& id, bool cancel, Reply reply) {
+void JobApi::look_up(const std::string& id, bool cancel, const Reply& reply) {
   const ClusterView& view = state_store_.view();
   if (auto final_record = view.finals.find(id); final_record != view.finals.end())
     return reply_final(id, final_record->second.phase, cancel, reply);
-  if (!view.jobs.contains(id)) return read_open(id, cancel, std::move(reply));
+  if (!view.jobs.contains(id)) return read_open(id, cancel, reply);
   const Ms asked_at = runtime_.now();
   query_leader(id, cancel, [this, id, cancel, asked_at, reply](int status, std::string body) {
     if (status == 0) return read_open(id, cancel, reply);
@@ -88,7 +87,7 @@
 }
 
 // The job's record first, then its final one: a job moves from the first to the second only.
-void JobApi::read_open(const std::string& id, bool cancel, Reply reply) {
+void JobApi::read_open(const std::string& id, bool cancel, const Reply& reply) {
   const Ms asked_at = runtime_.now();
   state_store_.read(codec::job_key(id), [this, id, cancel, asked_at, reply](auto row) {
     if (!row) return reply_error(reply, UserError::store_silent);
--- a/src/api/job_api.h
+++ b/src/api/job_api.h
@@ -52,8 +52,8 @@
  private:
   // Asks the leader, here or over the peer links; status 0 when it cannot be had.
   void query_leader(const std::string& id, bool cancel, Reply reply);
-  void look_up_valid(const std::string& id, bool cancel, Reply reply);
-  void look_up(const std::string& id, bool cancel, Reply reply);
+  void look_up_valid(const std::string& id, bool cancel, const Reply& reply);
+  void look_up(const std::string& id, bool cancel, const Reply& reply);
   static void reply_final(const std::string& id, JobPhase phase, bool cancel, const Reply& reply);
   // What is known of an open job, from a question that was asked at `asked_at`.
   struct OpenJobReply {
@@ -64,7 +64,7 @@
   static OpenJobReply queued_reply(const std::string& id, Ms asked_at);
   void reply_open(const std::string& id, bool cancel, OpenJobReply answer,
                   const Reply& reply) const;
-  void read_open(const std::string& id, bool cancel, Reply reply);
+  void read_open(const std::string& id, bool cancel, const Reply& reply);
   void read_final(const std::string& id, bool cancel, const Reply& reply);
   void reply_waiting(const std::string& id, const Reply& reply);
 
--- a/src/api/job_submission.h
+++ b/src/api/job_submission.h
@@ -16,7 +16,7 @@
 class JobSubmission {
  public:
   /// Replies with the state of a job that is known already.
-  using LookUp = std::function<void(const std::string& id, Reply reply)>;
+  using LookUp = std::function<void(const std::string& id, const Reply& reply)>;
 
   JobSubmission(const Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
                 const PartitionLeader& partition_leader, LookUp look_up);
--- a/src/upgrade/http_routes.cc
+++ b/src/upgrade/http_routes.cc
@@ -1,69 +1,108 @@
+// The table of routes, and the answers as HTTP.
 #include "upgrade/http_routes.h"
 
-#include <utility>
+#include <algorithm>
+#include <array>
+#include <optional>
+#include <string_view>
+#include <vector>
 
 #include "codec/job_json.h"
+#include "runtime/http_status.h"
 #include "upgrade/upgrade_json.h"
 
 namespace eiderreel::upgrade {
 namespace {
 
-const std::string kPrefix = "/upgrade/";
+constexpr std::string_view kPrefix = "/upgrade/";
 
-int http_status(StepOutcome outcome) {
+int http_status_of(StepOutcome outcome) {
   switch (outcome) {
     case StepOutcome::taken:
-      return 200;
+      return http_status::kOk;
     case StepOutcome::refused:
     case StepOutcome::changed:
-      return 409;
+      return http_status::kConflict;
     case StepOutcome::failed:
-      return 503;
+      return http_status::kServiceUnavailable;
     case StepOutcome::unknown:
       break;
   }
-  return 504;
+  return http_status::kGatewayTimeout;
 }
 
-void serve_history(Coordinator& coordinator, const Reply& reply) {
-  coordinator.history([reply](std::optional<std::vector<StepRecord>> records) {
-    if (!records) return reply(503, codec::error_body("the state service does not answer"));
-    reply(200, codec::encode(*records));
-  });
+// What a handler works on; the references are valid during the call only.
+struct Request {
+  Coordinator& coordinator;
+  const std::string& body;
+  const Reply& reply;
+};
+
+void serve_status(const Request& request) {
+  request.reply(http_status::kOk, codec::encode(request.coordinator.status()));
+}
+
+void serve_history(const Request& request) {
+  request.coordinator.history(
+      [reply = request.reply](const std::optional<std::vector<StepRecord>>& records) {
+        if (!records)
+          return reply(http_status::kServiceUnavailable,
+                       codec::error_body("the state service does not answer"));
+        reply(http_status::kOk, codec::encode(*records));
+      });
+}
+
+// The order in the body; nothing: the request was answered with what is wrong in it.
+std::optional<StepOrder> read_order(const Request& request) {
+  auto parsed = codec::parse_step_order(request.body);
+  if (!parsed.order) request.reply(http_status::kBadRequest, codec::error_body(parsed.error));
+  return std::move(parsed.order);
 }
 
-void serve_plan(Coordinator& coordinator, const StepOrder& order, const Reply& reply) {
-  coordinator.plan(order.step, [reply](const StepPlan& plan) { reply(200, codec::encode(plan)); });
+void serve_plan(const Request& request) {
+  const auto order = read_order(request);
+  if (!order) return;
+  request.coordinator.plan(order->step, [reply = request.reply](const StepPlan& plan) {
+    reply(http_status::kOk, codec::encode(plan));
+  });
 }
 
-void serve_step(Coordinator& coordinator, const StepOrder& order, const Reply& reply) {
-  coordinator.step(order, [reply](const StepAnswer& answer) {
-    reply(http_status(answer.outcome), codec::encode(answer));
+void serve_step(const Request& request) {
+  const auto order = read_order(request);
+  if (!order) return;
+  request.coordinator.step(*order, [reply = request.reply](const StepAnswer& answer) {
+    reply(http_status_of(answer.outcome), codec::encode(answer));
   });
 }
 
+struct Route {
+  std::string_view name;  // follows kPrefix
+  const char* method;
+  void (*handle)(const Request&);
+};
+
+constexpr std::array kRoutes = {
+    Route{"status", "GET", serve_status}, Route{"history", "GET", serve_history},
+    Route{"plan", "POST", serve_plan}, Route{"step", "POST", serve_step}};
+
 }  // namespace
 
-bool is_upgrade_path(const std::string& path) {
-  return path.compare(0, kPrefix.size(), kPrefix) == 0;
-}
+bool is_upgrade_path(const std::string& path) { return path.starts_with(kPrefix); }
 
 void serve(Coordinator& coordinator, const std::string& method, const std::string& path,
-           const std::string& body, Reply reply) {
+           const std::string& body, const Reply& reply) {
   if (!coordinator.enabled())
-    return reply(404, codec::error_body("this controller runs without an upgrade file"));
-  const std::string name = path.substr(kPrefix.size());
-  const bool reads = name == "status" || name == "history";
-  if (!reads && name != "plan" && name != "step")
-    return reply(404, codec::error_body("no such path"));
-  if (method != (reads ? "GET" : "POST"))
-    return reply(405, codec::error_body(reads ? "use GET" : "use POST"));
-  if (name == "status") return reply(200, codec::encode(coordinator.status()));
-  if (name == "history") return serve_history(coordinator, reply);
-  const auto parsed = codec::parse_step_order(body);
-  if (!parsed.order) return reply(400, codec::error_body(parsed.error));
-  if (name == "plan") return serve_plan(coordinator, *parsed.order, reply);
-  serve_step(coordinator, *parsed.order, reply);
+    return reply(http_status::kNotFound,
+                 codec::error_body("this controller runs without an upgrade file"));
+  const std::string_view name = std::string_view(path).substr(kPrefix.size());
+  const auto* const route = std::find_if(kRoutes.begin(), kRoutes.end(),
+                                         [&](const Route& each) { return each.name == name; });
+  if (route == kRoutes.end())
+    return reply(http_status::kNotFound, codec::error_body("no such path"));
+  if (method != route->method)
+    return reply(http_status::kMethodNotAllowed,
+                 codec::error_body(std::string("use ") + route->method));
+  route->handle({coordinator, body, reply});
 }
 
 }  // namespace eiderreel::upgrade
--- a/src/upgrade/messages.h
+++ b/src/upgrade/messages.h
@@ -12,26 +12,16 @@
 
 namespace eiderreel::upgrade {
 
-// A step that somebody asks for. It is named by who asks, so that its outcome can be looked up.
+/// A step that somebody asks for. Who asks names the request, so that its outcome can be looked up.
 struct StepOrder {
   StepRequest step;
   ClusterVersion from = kFirstVersion;  // the version that the asker saw
-  std::string request;
+  std::string request;                  // its name, chosen by who asks
   std::string who;
   std::string reason;
 };
 
-enum class StepOutcome {
-  taken,    // it is durable
-  refused,  // an obstacle stands in its way; nothing was done
-  changed,  // the cluster or a controller changed meanwhile; nothing was done
-  failed,   // the state store refused; nothing was done
-  unknown,  // no answer: it may be done, or may still be
-};
-const char* to_string(StepOutcome outcome);
-std::optional<StepOutcome> parse_outcome(const std::string& text);
-
-// One line of the history: who asked for what, when, and what came of it.
+/// One line of the history: who asked for what, when, and what came of it.
 struct StepRecord {
   Ms at = 0;  // time of day
   std::string who, reason, request;
@@ -44,18 +34,20 @@
   std::vector<std::string> obstacles;
 };
 
+/// The answer to a step that was asked for.
 struct StepAnswer {
   StepOutcome outcome = StepOutcome::refused;
   StepPlan plan;
 };
 
-// What the controllers tell of the conversion, as far as they are heard.
+/// What the controllers tell of the conversion, as far as they are heard.
 struct ConversionReport {
   std::optional<ProgressForm> to;  // nothing: no conversion goes on
   ConversionProgress sum;
-  std::vector<int> unknown_partitions;  // nobody who owns them is heard
+  std::vector<int> unknown_partitions;  // no leader of them is heard
 };
 
+/// What one controller tells of the cluster version.
 struct StatusReport {
   std::string controller;  // who tells
   bool enabled = true;
--- a/src/upgrade/step_plan.cc
+++ b/src/upgrade/step_plan.cc
@@ -1,12 +1,11 @@
+// Targets of the three actions, and the obstacles of each controller.
 #include "upgrade/step_plan.h"
 
 #include <algorithm>
-#include <array>
 
 namespace eiderreel::upgrade {
 namespace {
 
-constexpr std::array<const char*, 3> kActions = {"advance", "abort", "finalize"};
 constexpr std::size_t kKeysNamed = 5;  // unreadable keys that an obstacle names
 
 // The version that an action leads to, or why there is none.
@@ -56,13 +55,13 @@
 std::string obstacle_of_absent(const StepRequest& request, const ControllerFacts& controller) {
   // A way back leads to what earlier builds understand, so it does not wait for anyone.
   if (request.action == Action::abort || !controller.configured) return "";
-  if (request.without.count(controller.name)) return "";
+  if (request.without.contains(controller.name)) return "";
   return "has no record: it is away, or its build does not know the cluster version";
 }
 
 std::string obstacle_of_present(const StepRequest& request, const ControllerFacts& controller,
                                 ClusterVersion from, ClusterVersion to) {
-  if (request.without.count(controller.name)) return "is running and cannot be left out";
+  if (request.without.contains(controller.name)) return "is running and cannot be left out";
   const bool back = request.action == Action::abort;
   // An earlier build acts as the first version does; a way back only comes closer to it.
   if (!controller.versions)
@@ -95,14 +94,6 @@
 
 }  // namespace
 
-const char* to_string(Action action) { return kActions[static_cast<std::size_t>(action)]; }
-
-std::optional<Action> parse_action(const std::string& text) {
-  const auto found = std::find(kActions.begin(), kActions.end(), text);
-  if (found == kActions.end()) return std::nullopt;
-  return static_cast<Action>(found - kActions.begin());
-}
-
 StepPlan plan_step(const StepRequest& request, const ClusterState& cluster,
                    const std::vector<ControllerFacts>& controllers) {
   StepPlan plan;
