--- a/src/controller/metrics.cc
+++ b/src/controller/metrics.cc
@@ -138,10 +138,10 @@
           o.stale_heartbeats);
   counter("deferred_heartbeats_total", "heartbeats whose reply waited for work", o.deferred);
   counter("lease_expiries_total", "machines whose lease expired", o.lease_expiries);
-  const auto& f = controller.fleet().counters();
   counter("machines_provisioned_total", "machines provisioned",
-          controller.fleet().provisioner().provisioned_count());
-  counter("machines_terminated_total", "machines terminated", f.terminated);
+          controller.fleet().provisioned_count());
+  counter("machines_terminated_total", "machines terminated",
+          controller.fleet().terminated_count());
   t.by_status("state_store_requests_total", "requests to the state store by status, 0: no answer",
               controller.state_store().counters().replies);
   counter("state_store_throttled_total",
--- a/src/fleet/machine_assigner.cc
+++ b/src/fleet/machine_assigner.cc
@@ -1,124 +1,131 @@
+// The machine assigner: which partition a new machine goes to, and the commits.
 #include "fleet/machine_assigner.h"
 
 #include <spdlog/spdlog.h>
 
+#include <cstddef>
 #include <utility>
 
+#include "fleet/fair_share.h"
+#include "runtime/http_status.h"
+
 namespace eiderreel {
 
 namespace k = constants;
 
-double fair_share_cpus_of(const Settings& s, int partition) {
-  double cpus = 0;
-  for (const auto& team : s.teams_of(partition)) cpus += team.fair_share_cpus;
-  return std::max(cpus, 1.0);
+void MachineAssigner::Share::assign(double cpus, bool spot) {
+  all.assigned += cpus;
+  if (!spot) on_demand.assigned += cpus;
 }
 
-void MachineAssigner::add(const Heartbeat& r, Reply reply) {
-  auto [it, fresh] = pending_assignments_.try_emplace(r.machine);
-  Reply old = std::exchange(it->second.reply, std::move(reply));
-  it->second.heartbeat = r;
-  if (!fresh) old(503, "");
+void MachineAssigner::add(const Heartbeat& heartbeat, Reply reply) {
+  const auto [entry, is_new] = pending_assignments_.try_emplace(heartbeat.machine);
+  const Reply earlier = std::exchange(entry->second.reply, std::move(reply));
+  entry->second.heartbeat = heartbeat;
+  if (!is_new) earlier(http_status::kServiceUnavailable, "");
 }
 
-// What each partition has and asks for, of ordinary and of spot machines.
 std::vector<MachineAssigner::Share> MachineAssigner::shares() const {
-  std::vector<Share> out(static_cast<std::size_t>(settings_.partition_count));
-  auto add = [&](const codec::MachineRecord& r) {
-    const MachineType* t = find_type(types_, r.type);
-    if (r.partition < 0 || r.partition >= settings_.partition_count || !t) return;
-    Share& d = out[static_cast<std::size_t>(r.partition)];
-    d.cpus[1] += t->cpus;
-    if (!r.spot) d.cpus[0] += t->cpus;
+  std::vector<Share> shares(static_cast<std::size_t>(settings_.partition_count));
+  const auto add = [&](const codec::MachineRecord& record) {
+    const MachineType* type = catalog_.find(record.type);
+    if (record.partition < 0 || record.partition >= settings_.partition_count || !type) return;
+    shares[static_cast<std::size_t>(record.partition)].assign(type->cpus, record.spot);
   };
-  for (const auto& [id, m] : state_store_.view().machines) add(m.record);
-  for (const auto& [id, a] : pending_assignments_)
-    if (a.sent) add(a.record);
-  const auto partition_loads = partition_leader_.partition_loads();
-  for (int p = 0; p < settings_.partition_count; ++p) {
-    Share& d = out[static_cast<std::size_t>(p)];
-    d.weight = fair_share_cpus_of(settings_, p);
-    auto it = partition_loads.find(p);
-    if (it == partition_loads.end()) continue;
-    const PartitionLoad& n = it->second;
-    d.asked[0] = (n.used_service_cpus + n.waiting_service_cpus) * k::kServiceRoom + n.waiting_cpus -
-                 n.waiting_spot_cpus;
-    d.asked[1] = n.used_cpus + n.waiting_cpus;
+  for (const auto& [id, machine] : state_store_.view().machines) add(machine.record);
+  for (const auto& [id, assignment] : pending_assignments_)
+    if (assignment.sent) add(assignment.record);
+  const auto loads = partition_leader_.partition_loads();
+  for (int i = 0; i < settings_.partition_count; ++i) {
+    Share& share = shares[static_cast<std::size_t>(i)];
+    share.weight = fair_share_cpus_of(settings_, i);
+    const auto found = loads.find(i);
+    if (found == loads.end()) continue;
+    const PartitionLoad& load = found->second;
+    share.on_demand.requested =
+        (load.used_service_cpus + load.waiting_service_cpus) * k::kServiceRoom + load.waiting_cpus -
+        load.waiting_spot_cpus;
+    share.all.requested = load.used_cpus + load.waiting_cpus;
   }
-  return out;
+  return shares;
 }
 
-// A new machine goes where most is asked for what is there. Ordinary machines are dealt out by
-// what cannot run on spot ones, above all services; the fair shares count as a base, so that no
-// partition is left bare.
+// A new machine goes where most is asked for what is there. On-demand machines are dealt out by
+// what cannot run on spot ones, above all services. The fair shares count as a base, so that no
+// partition is left without machines.
 int MachineAssigner::choose_partition(std::vector<Share>& shares, double cpus, bool spot) {
-  double all_weights = 0, all_cpus = cpus;
-  for (const Share& d : shares) {
-    all_weights += d.weight;
-    all_cpus += d.cpus[spot];
+  double all_weights = 0;
+  double all_cpus = cpus;
+  for (const Share& share : shares) {
+    all_weights += share.weight;
+    all_cpus += share.of(spot).assigned;
   }
   std::size_t best = 0;
   double best_ratio = -1;
-  for (std::size_t p = 0; p < shares.size(); ++p) {
-    const Share& d = shares[p];
-    const double base = k::kBaseShare * all_cpus * d.weight / all_weights;
-    const double ratio = (d.asked[spot] + base) / (d.cpus[spot] + cpus);
+  for (std::size_t i = 0; i < shares.size(); ++i) {
+    const Capacity& capacity = shares[i].of(spot);
+    const double base = k::kBaseShare * all_cpus * shares[i].weight / all_weights;
+    const double ratio = (capacity.requested + base) / (capacity.assigned + cpus);
     if (ratio <= best_ratio) continue;
-    best = p;
+    best = i;
     best_ratio = ratio;
   }
-  shares[best].cpus[1] += cpus;
-  if (!spot) shares[best].cpus[0] += cpus;
+  shares[best].assign(cpus, spot);
   return static_cast<int>(best);
 }
 
 void MachineAssigner::assign_all() {
   std::vector<std::string> batch;
-  std::vector<Share> dealt;
-  for (auto& [id, a] : pending_assignments_) {
-    if (a.sent) continue;
-    if (dealt.empty()) dealt = shares();
-    const Heartbeat& r = a.heartbeat;
-    const MachineType* t = find_type(types_, r.type);
-    a.record = {choose_partition(dealt, t ? t->cpus : 1, r.spot), r.type, r.zone, r.addr, r.spot};
-    a.sent = true;
+  std::vector<Share> current;  // made when the first machine needs them
+  for (auto& [id, assignment] : pending_assignments_) {
+    if (assignment.sent) continue;
+    if (current.empty()) current = shares();
+    const Heartbeat& heartbeat = assignment.heartbeat;
+    const MachineType* type = catalog_.find(heartbeat.type);
+    const int partition = choose_partition(current, type ? type->cpus : 1, heartbeat.spot);
+    assignment.record = {partition, heartbeat.type, heartbeat.zone, heartbeat.addr, heartbeat.spot};
+    assignment.sent = true;
     batch.push_back(id);
     if (static_cast<int>(batch.size()) < settings_.batch()) continue;
-    send(std::move(batch));
+    send(batch);
     batch.clear();
   }
-  if (!batch.empty()) send(std::move(batch));
+  if (!batch.empty()) send(batch);
 }
 
-void MachineAssigner::send(std::vector<std::string> ids) {
-  CompareAndSwap c;
-  c.request_priority = RequestPriority::fleet;
-  c.nonce = state_store_.nonce();
-  for (const auto& id : ids) {
-    c.preconditions.push_back({codec::machine_key(id), 0});
-    c.writes.push_back({codec::machine_key(id),
-                        codec::encode(pending_assignments_.at(id).record, c.nonce), false});
+// Invariant 3: machines that come together share a transaction, and each has its own key.
+void MachineAssigner::send(const std::vector<std::string>& machines) {
+  CompareAndSwap commit;
+  commit.request_priority = RequestPriority::fleet;
+  commit.nonce = state_store_.nonce();
+  for (const auto& id : machines) {
+    const std::string key = codec::machine_key(id);
+    commit.preconditions.push_back({key, 0});
+    commit.writes.push_back(
+        {key, codec::encode(pending_assignments_.at(id).record, commit.nonce), false});
   }
-  c.done = [this, ids](CasOutcome o, std::uint64_t) {
+  commit.done = [this, machines](CasOutcome outcome, std::uint64_t) {
+    const bool is_conflict = outcome == CasOutcome::conflict || outcome == CasOutcome::superseded;
     // One that was assigned before holds up the others: each goes alone then.
-    if ((o == CasOutcome::conflict || o == CasOutcome::superseded) && ids.size() > 1) {
-      for (const auto& id : ids) send({id});
+    if (is_conflict && machines.size() > 1) {
+      for (const auto& id : machines) send({id});
       return;
     }
-    for (const auto& id : ids) end(id, o);
+    for (const auto& id : machines) end(id, outcome);
   };
-  state_store_.compare_and_swap(std::move(c));
+  state_store_.compare_and_swap(std::move(commit));
 }
 
 void MachineAssigner::end(const std::string& machine, CasOutcome outcome) {
-  auto it = pending_assignments_.find(machine);
-  PendingAssignment a = std::move(it->second);
-  pending_assignments_.erase(it);
+  const auto found = pending_assignments_.find(machine);
+  PendingAssignment assignment = std::move(found->second);
+  pending_assignments_.erase(found);
   ended_(machine);
-  if (outcome != CasOutcome::ok) return a.reply(503, "");
+  if (outcome != CasOutcome::ok) return assignment.reply(http_status::kServiceUnavailable, "");
+  const codec::MachineRecord& record = assignment.record;
   spdlog::info("machine assigned machine={} partition={} type={} zone={} spot={}", machine,
-               a.record.partition, a.record.type, a.record.zone, a.record.spot);
-  partition_leader_.heartbeat(a.heartbeat, std::move(a.reply));
+               record.partition, record.type, record.zone, record.spot);
+  partition_leader_.heartbeat(assignment.heartbeat, std::move(assignment.reply));
 }
 
 }  // namespace eiderreel
--- a/src/fleet/machine_assigner.h
+++ b/src/fleet/machine_assigner.h
@@ -4,29 +4,33 @@
 #include <functional>
 #include <map>
 #include <string>
+#include <utility>
 #include <vector>
 
+#include "fleet/machine_catalog.h"
 #include "leadership/partition_leader.h"
 #include "state_store/state_store_client.h"
 
 namespace eiderreel {
 
-// What the fair shares of a partition's teams come to, in CPUs; its share of the machines at least.
-double fair_share_cpus_of(const Settings& settings, int partition);
-
+/// Assigns new machines to partitions. To be used by the cluster leader alone.
 class MachineAssigner {
  public:
-  MachineAssigner(const Settings& settings, StateStoreClient& state_store,
-                  PartitionLeader& partition_leader)
-      : settings_(settings), state_store_(state_store), partition_leader_(partition_leader) {}
-  void types_known(const std::vector<MachineType>& types) { types_ = types; }
-  // Called with each machine whose assignment has ended, whatever came of it.
-  void start(std::function<void(const std::string& machine)> ended) { ended_ = std::move(ended); }
-
-  // A machine without a partition has sent a heartbeat; the newest heartbeat is kept, and answered
-  // once the machine is assigned.
-  void add(const Heartbeat& r, Reply reply);
-  // Machines that come up together are dealt out together, many in a transaction.
+  using Ended = std::function<void(const std::string& machine)>;
+
+  MachineAssigner(const Settings& settings, const MachineCatalog& catalog,
+                  StateStoreClient& state_store, PartitionLeader& partition_leader)
+      : settings_(settings),
+        catalog_(catalog),
+        state_store_(state_store),
+        partition_leader_(partition_leader) {}
+  /// `ended` is called with each machine whose assignment has ended, whatever came of it.
+  void start(Ended ended) { ended_ = std::move(ended); }
+
+  /// A machine without a partition has sent a heartbeat. The newest heartbeat is kept, and answered
+  /// once the machine is assigned; 503 answers an earlier one, or where it cannot be assigned.
+  void add(const Heartbeat& heartbeat, Reply reply);
+  /// Assigns all machines that wait. Those that come up together share transactions.
   void assign_all();
 
  private:
@@ -36,20 +40,30 @@
     codec::MachineRecord record;
     bool sent = false;  // its commit is on its way
   };
-  struct Share {  // what a partition has and asks for; index 0: ordinary machines, 1: all
-    double weight = 0, cpus[2] = {0, 0}, asked[2] = {0, 0};
+  struct Capacity {  // in CPUs
+    double assigned = 0;
+    double requested = 0;
+  };
+  // What a partition has and asks for.
+  struct Share {
+    double weight = 0;  // its fair share in CPUs
+    Capacity on_demand;
+    Capacity all;
+    // What counts for a new machine of this kind.
+    const Capacity& of(bool spot) const { return spot ? all : on_demand; }
+    void assign(double cpus, bool spot);
   };
 
   std::vector<Share> shares() const;
   static int choose_partition(std::vector<Share>& shares, double cpus, bool spot);
-  void send(std::vector<std::string> machines);
+  void send(const std::vector<std::string>& machines);
   void end(const std::string& machine, CasOutcome outcome);
 
   const Settings& settings_;
+  const MachineCatalog& catalog_;
   StateStoreClient& state_store_;
   PartitionLeader& partition_leader_;
-  std::vector<MachineType> types_;
-  std::function<void(const std::string&)> ended_;
+  Ended ended_;
   std::map<std::string, PendingAssignment> pending_assignments_;  // by machine
 };
 
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -22,6 +22,9 @@
   std::vector<std::string> zones;
 };
 
+/// Stands for the partition of a machine that is released, to be returned to the cloud.
+inline constexpr int kReleasedPartition = -1;
+
 /// The type of that name; null: the catalog has none.
 inline const MachineType* find_type(const std::vector<MachineType>& types,
                                     const std::string& name) {
