--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,8 +1,10 @@
-// One node of the service: its actors, wired to each other, the HTTP routes and the peer links.
+// One node of the service: its parts, wired to each other.
 #pragma once
 #include <string>
 
 #include "api/job_api.h"
+#include "controller/http_router.h"
+#include "controller/peer_dispatcher.h"
 #include "fleet/fleet_manager.h"
 #include "leadership/partition_leader.h"
 #include "state_store/state_store_client.h"
@@ -10,16 +12,20 @@
 
 namespace eiderreel {
 
+/// A controller. It runs on one thread: its functions are called by the event loop alone.
 class Controller {
  public:
+  /// Both must outlive the controller.
   Controller(Runtime& runtime, const Settings& settings);
+  /// To be called once, before anything else.
   void start();
-  void tick();  // every kTickMs
+  /// All periodic work; every constants::kTickMs.
+  void tick();
 
-  // A request to api_addr. `reply` is called once, at once or later.
+  /// A request to `api_addr`. `reply` is called once, at once or later.
   void request(const std::string& method, const std::string& path, const std::string& body,
                Reply reply);
-  // A frame from a peer.
+  /// A message from a peer, without the length of its frame.
   void frame(const std::string& bytes);
 
   const Settings& settings() const { return settings_; }
@@ -29,16 +35,18 @@
   const FleetManager& fleet() const { return fleet_; }
 
  private:
-  void send(const std::string& node, const peer_rpc::Body& body);
-  void broadcast(const peer_rpc::Body& body);
+  void start_leadership();
+  void start_fleet();
+  void start_state_store();
 
-  Runtime& runtime_;
   const Settings& settings_;
   StateStoreClient state_store_;
   PartitionLeader partition_leader_;
   JobApi job_api_;
   FleetManager fleet_;
   upgrade::Coordinator upgrades_;
+  PeerDispatcher peers_;
+  HttpRouter http_router_;
 };
 
 }  // namespace eiderreel
--- a/src/controller/metrics.h
+++ b/src/controller/metrics.h
@@ -1,4 +1,4 @@
-// What a node tells of itself: Prometheus text for /metrics, and the same as JSON for `status`.
+// What a controller tells of itself under /metrics.
 #pragma once
 #include <string>
 
@@ -6,7 +6,7 @@
 
 class Controller;
 
+/// The metrics of a controller in the text format of Prometheus.
 std::string metrics_text(const Controller& controller);
-std::string status_json(const Controller& controller);
 
 }  // namespace eiderreel
--- a/src/observability/latency_histogram.cc
+++ b/src/observability/latency_histogram.cc
@@ -1,3 +1,4 @@
+// Latency histograms in the text format of Prometheus.
 #include "observability/latency_histogram.h"
 
 #include <fmt/format.h>
--- a/src/observability/latency_histogram.h
+++ b/src/observability/latency_histogram.h
@@ -12,6 +12,7 @@
 class LatencyHistogram {
  public:
   LatencyHistogram();
+  /// Counts one latency; below 1 ms it falls into the first bucket.
   void add(Ms latency);
   /// The Prometheus lines of the histogram, in seconds; `labels` stand inside the braces.
   std::string text(const std::string& name, const std::string& labels) const;
--- a/tests/chains_test.cc
+++ b/tests/chains_test.cc
@@ -4,7 +4,7 @@
 
 #include <array>
 
-#include "controller/metrics.h"
+#include "controller/status_report.h"
 #include "standin/text.h"
 
 using namespace eiderreel;
