--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -10,7 +10,6 @@
 
 namespace {
 
-constexpr double kQueryNumberRange = 9e15;  // below 2^53, so exact as a double
 
 }  // namespace
 
