--- a/src/runtime/http_status.h
+++ b/src/runtime/http_status.h
@@ -1,9 +1,11 @@
-// The HTTP status codes that the protocol uses, by name.
+// The HTTP status codes that the protocol uses.
 #pragma once
 
+/// HTTP status codes by name.
 namespace eiderreel::http_status {
 
-inline constexpr int kNoAnswer = 0;  // the request may have been carried out, or still may be
+/// Not a status of HTTP: no answer came. The request may have been carried out, or still may be.
+inline constexpr int kNoAnswer = 0;
 inline constexpr int kOk = 200;
 inline constexpr int kCreated = 201;
 inline constexpr int kBadRequest = 400;
--- a/src/versioning/acting_version.cc
+++ b/src/versioning/acting_version.cc
@@ -1,10 +1,12 @@
+// The cluster version that a controller acts under.
 #include "versioning/acting_version.h"
 
 namespace eiderreel::upgrade {
 
 std::string ActingVersion::obstacle(const ClusterState& cluster) const {
   if (!enabled_) return "";
-  // A controller that acts goes on: no step is taken from a version that nobody can read.
+  // A controller that already acts may continue: no step can be taken from a version that nobody
+  // can read, so the version it acts under stays valid.
   if (!cluster.version)
     return record_revision_ != 0 ? "" : "the cluster version in the state service cannot be read";
   if (range_.contains(*cluster.version)) return "";
--- a/src/versioning/cluster_version.cc
+++ b/src/versioning/cluster_version.cc
@@ -1,20 +1,22 @@
+// The tables of gates and of notes on cluster versions.
 #include "versioning/cluster_version.h"
 
 #include <algorithm>
-#include <iterator>
+#include <array>
 
 namespace eiderreel::upgrade {
 namespace {
 
+// The versions in which a gate is open.
 struct GateRow {
   Gate gate;
   VersionRange open;
 };
 
-constexpr GateRow kGates[] = {
-    {Gate::write_compact_progress, {ClusterVersion::write_compact, kNewestVersion}},
-    {Gate::convert_to_compact_progress, {ClusterVersion::convert, kNewestVersion}},
-    {Gate::convert_to_bits_progress, {ClusterVersion::base, ClusterVersion::base}},
+constexpr std::array kGates = {
+    GateRow{Gate::write_compact_progress, {ClusterVersion::write_compact, kNewestVersion}},
+    GateRow{Gate::convert_to_compact_progress, {ClusterVersion::convert, kNewestVersion}},
+    GateRow{Gate::convert_to_bits_progress, {ClusterVersion::base, ClusterVersion::base}},
 };
 
 struct NotesRow {
@@ -22,13 +24,14 @@
   VersionNotes notes;
 };
 
-constexpr NotesRow kNotes[] = {
-    {ClusterVersion::base,
-     {"progress is written as bits, and compact progress is rewritten as bits"}},
-    {ClusterVersion::write_compact, {"progress is written in the compact form; both are read"}},
-    {ClusterVersion::convert, {"progress stored as bits is rewritten in the compact form"}},
-    {ClusterVersion::compact_only,
-     {"the upgrade is final: earlier builds cannot come back", true, false}},
+constexpr std::array kNotes = {
+    NotesRow{ClusterVersion::base,
+             {"progress is written as bits, and compact progress is rewritten as bits"}},
+    NotesRow{ClusterVersion::write_compact,
+             {"progress is written in the compact form; both are read"}},
+    NotesRow{ClusterVersion::convert, {"progress stored as bits is rewritten in the compact form"}},
+    NotesRow{ClusterVersion::compact_only,
+             {"the upgrade is final: earlier builds cannot come back", true, false}},
 };
 
 }  // namespace
@@ -40,7 +43,7 @@
 }
 
 bool is_open(Gate gate, ClusterVersion version) {
-  return std::any_of(std::begin(kGates), std::end(kGates), [&](const GateRow& row) {
+  return std::any_of(kGates.begin(), kGates.end(), [&](const GateRow& row) {
     return row.gate == gate && row.open.contains(version);
   });
 }
@@ -55,9 +58,10 @@
 }
 
 std::optional<VersionNotes> notes(ClusterVersion version) {
-  const auto row = std::find_if(std::begin(kNotes), std::end(kNotes),
-                                [&](const NotesRow& r) { return r.version == version; });
-  if (row == std::end(kNotes)) return std::nullopt;
+  const auto row = std::find_if(kNotes.begin(), kNotes.end(), [&](const NotesRow& candidate) {
+    return candidate.version == version;
+  });
+  if (row == kNotes.end()) return std::nullopt;
   return row->notes;
 }
 
--- a/src/versioning/cluster_version.h
+++ b/src/versioning/cluster_version.h
@@ -7,29 +7,35 @@
 
 namespace eiderreel::upgrade {
 
-// A version of a later build may have a number that has no name here.
+/// A cluster version. Those of later builds have numbers without a name here.
 enum class ClusterVersion : std::uint32_t {
-  base = 1,           // the formats of the builds before cluster versions
-  write_compact = 2,  // progress is written in the compact form
-  convert = 3,        // progress in the bits form is rewritten in the background
-  compact_only = 4,   // no progress in the bits form is left; there is no way back
+  base = 1,           ///< The formats of the builds before cluster versions.
+  write_compact = 2,  ///< Progress is written in the compact form.
+  convert = 3,        ///< Progress in the bits form is rewritten in the background.
+  compact_only = 4,   ///< No progress in the bits form is left; there is no way back.
 };
 
+/// The version of a cluster whose state store holds none.
 constexpr ClusterVersion kFirstVersion = ClusterVersion::base;
+/// The newest version that this build knows.
 constexpr ClusterVersion kNewestVersion = ClusterVersion::compact_only;
 
+/// The number of a version.
 constexpr std::uint32_t number(ClusterVersion version) {
   return static_cast<std::uint32_t>(version);
 }
+/// The version that one step forward leads to.
 constexpr ClusterVersion next(ClusterVersion version) {
   return static_cast<ClusterVersion>(number(version) + 1);
 }
+/// The version that one step back leads to.
 constexpr ClusterVersion previous(ClusterVersion version) {
   return static_cast<ClusterVersion>(number(version) - 1);
 }
+/// The number as text.
 std::string to_string(ClusterVersion version);
 
-// The versions that a build can act under, both ends included.
+/// The versions that a build can act under, both ends included.
 struct VersionRange {
   ClusterVersion oldest = kFirstVersion;
   ClusterVersion newest = kNewestVersion;
@@ -37,41 +43,45 @@
   bool contains(ClusterVersion version) const { return oldest <= version && version <= newest; }
   bool operator==(const VersionRange&) const = default;
 };
+/// For people: "1 to 4".
 std::string to_string(const VersionRange& range);
 
-// What a controller's record says of its build.
+/// What a controller's record says about its build.
 struct BuildVersions {
   VersionRange range;
   ClusterVersion acting = kFirstVersion;
-  std::string build;  // its name, for people
+  std::string build;  ///< Name of the build, for people.
 };
 
-// New behaviour. Each gate is open in a range of versions that stands in one table; nothing else
-// compares versions to decide what to do.
+/// Behaviour that depends on the version. Each gate is open in a range of versions, which is listed
+/// in one table; nothing else compares versions to decide what to do.
 enum class Gate {
   write_compact_progress,
   convert_to_compact_progress,
-  convert_to_bits_progress,  // after a way back
+  convert_to_bits_progress,  ///< After steps back.
 };
+/// Whether the gate is open in this version.
 bool is_open(Gate gate, ClusterVersion version);
 
-// How progress is stored; `bits` is the form of the builds before cluster versions.
+/// How progress is stored; `bits` is the form of the builds before cluster versions.
 enum class ProgressForm : std::uint8_t { bits, compact };
 
-// What a controller does with progress while it acts under a version.
+/// What a controller does with progress while it acts under a version.
 struct ProgressPolicy {
   ProgressForm write = ProgressForm::bits;
-  std::optional<ProgressForm> convert_to;  // values in the other form are rewritten
+  /// Stored values in the other form are rewritten in this one; nothing if all are left alone.
+  std::optional<ProgressForm> convert_to;
 };
+/// The policy of a version.
 ProgressPolicy progress_policy(ClusterVersion version);
 
-// What an operator should know of a version before the cluster enters it.
+/// What an operator should know about a version before the cluster enters it.
 struct VersionNotes {
-  const char* effect;
-  bool needs_conversion = false;  // no progress in the bits form may be left
-  bool reversible = true;         // the cluster may go back from it
+  const char* effect = "";
+  bool needs_conversion = false;  ///< No progress in the bits form may be left.
+  bool reversible = true;         ///< The cluster may go back from it.
 };
-// Nothing for a version that this build does not know.
+/// The notes on a version; nothing if this build does not know it.
 std::optional<VersionNotes> notes(ClusterVersion version);
 
 }  // namespace eiderreel::upgrade
--- a/src/versioning/maintenance_window.cc
+++ b/src/versioning/maintenance_window.cc
@@ -1,3 +1,4 @@
+// Maintenance windows by the clocks of a named time zone.
 #include "versioning/maintenance_window.h"
 
 #include <date/date.h>
@@ -11,16 +12,19 @@
 
 using Moment = date::sys_time<std::chrono::milliseconds>;
 
-constexpr std::array<const char*, 7> kWeekdays = {"sun", "mon", "tue", "wed", "thu", "fri", "sat"};
+constexpr std::array<const char*, kWeekdayCount> kWeekdays = {"sun", "mon", "tue", "wed",
+                                                              "thu", "fri", "sat"};
 constexpr std::chrono::minutes kDay{24 * 60};
 
-bool is_digit(char c) { return c >= '0' && c <= '9'; }
+constexpr int kMinutesMax = 59;
+
+bool is_digit(char character) { return character >= '0' && character <= '9'; }
 
 Moment moment_of(const date::time_zone& zone, date::local_days day, TimeOfDay time) {
   return zone.to_sys(day + time.since_midnight, date::choose::earliest);
 }
 
-// Whether the window that begins on this local day holds the moment.
+// Whether the moment is in the window that begins on this local day.
 bool begun_on(const MaintenanceWindow& window, const date::time_zone& zone, date::local_days day,
               Moment moment) {
   if (!window.days[date::weekday(day).c_encoding()]) return false;
@@ -33,14 +37,14 @@
 }  // namespace
 
 std::optional<TimeOfDay> parse_time_of_day(const std::string& text) {
-  const bool form = text.size() == 5 && text[2] == ':' && is_digit(text[0]) && is_digit(text[1]) &&
-                    is_digit(text[3]) && is_digit(text[4]);
-  if (!form) return std::nullopt;
+  const bool has_form = text.size() == 5 && text[2] == ':' && is_digit(text[0]) &&
+                        is_digit(text[1]) && is_digit(text[3]) && is_digit(text[4]);
+  if (!has_form) return std::nullopt;
   const int hours = std::stoi(text.substr(0, 2));
   const int minutes = std::stoi(text.substr(3, 2));
   const std::chrono::minutes since_midnight =
       std::chrono::hours(hours) + std::chrono::minutes(minutes);
-  if (minutes > 59 || since_midnight > kDay) return std::nullopt;
+  if (minutes > kMinutesMax || since_midnight > kDay) return std::nullopt;
   return TimeOfDay{since_midnight};
 }
 
