--- /dev/null
+++ b/src/cli/check.cc
@@ -0,0 +1,23 @@
+// `eiderreel check`: checks settings files without starting a controller.
+#include "cli/check.h"
+
+#include <iostream>
+
+#include "cli/exit_code.h"
+
+namespace eiderreel::cli {
+
+int check(const SettingsFiles& files) {
+  const auto settings = load(files);
+  if (!settings) return exit_code::kUsage;
+  std::cout << files.platform << ": good; node " << settings->node << ", " << settings->peers.size()
+            << " peers, " << settings->teams.size() << " teams in " << settings->partition_count
+            << " partitions\n";
+  const upgrade::UpgradeSettings& upgrade = settings->upgrade;
+  if (upgrade.enabled)
+    std::cout << files.upgrade << ": good; versions " << upgrade::to_string(upgrade.range)
+              << ", automatic steps " << (upgrade.automatic ? "on" : "off") << "\n";
+  return exit_code::kSuccess;
+}
+
+}  // namespace eiderreel::cli
--- a/src/cli/http_call.h
+++ b/src/cli/http_call.h
@@ -1,4 +1,4 @@
-// One HTTP request of the command line to a running controller, with a bounded wait.
+// HTTP requests of the command line to a running controller.
 #pragma once
 #include <string>
 
@@ -7,11 +7,12 @@
 
 namespace eiderreel::cli {
 
-// Sends the request and waits for its answer; status 0: none came in time. `addr` is IP:PORT.
+/// Sends one request and waits for its answer, for at most `timeout` milliseconds. The answer has
+/// status 0 if none came. `addr` is IP:PORT.
 HttpReply http_call(const std::string& addr, const std::string& method, const std::string& path,
                     const std::string& body, Ms timeout);
 
-// Whether the text has the form IP:PORT.
+/// Whether the text is an address of the form IP:PORT.
 bool is_address(const std::string& text);
 
 }  // namespace eiderreel::cli
--- a/src/cli/status.cc
+++ b/src/cli/status.cc
@@ -1,3 +1,4 @@
+// `eiderreel status`: what a running controller reports about itself.
 #include "cli/status.h"
 
 #include <fmt/format.h>
@@ -5,80 +6,98 @@
 
 #include <iostream>
 
+#include "cli/exit_code.h"
 #include "cli/http_call.h"
+#include "cli/json_fields.h"
 #include "constants.h"
+#include "runtime/http_status.h"
 
 namespace eiderreel::cli {
 namespace {
 
-constexpr int kFailed = 1;
+constexpr const char* kColumns[] = {"part",         "owner",         "term",       "jobs",
+                                    "queued_tasks", "running_tasks", "total_cpus", "used_cpus",
+                                    "waiting_cpus", "idle_machines"};
 
-int fail(const std::string& addr, const std::string& what) {
-  std::cerr << "eiderreel status: " << addr << ": " << what << "\n";
-  return kFailed;
+int fail_at(const std::string& addr, const std::string& what) {
+  return fail(exit_code::kFailure, "status", addr + ": " + what);
 }
 
+// A value of a row. Controllers only know all of it for the partitions that they lead.
 std::string cell(const rapidjson::Value& row, const char* name) {
-  auto it = row.FindMember(name);
-  if (it == row.MemberEnd()) return "-";  // another node's to tell
-  if (it->value.IsString()) return it->value.GetStringLength() ? it->value.GetString() : "none";
-  return fmt::format("{:.0f}", it->value.GetDouble());
+  const auto member = row.FindMember(name);
+  if (member == row.MemberEnd()) return "-";
+  const rapidjson::Value& value = member->value;
+  if (!value.IsString()) return fmt::format("{:.0f}", value.GetDouble());
+  return value.GetStringLength() == 0 ? "none" : value.GetString();
 }
 
-// Jobs that wait for other jobs, and the first few of those; earlier builds do not tell.
-void print_waiting(const rapidjson::Document& d) {
-  if (!d.HasMember("waiting") || !d["waiting"].IsArray() || d["waiting"].Empty()) return;
+std::string names_in(const rapidjson::Value& row, const char* name) {
+  std::string names;
+  if (!row.HasMember(name) || !row[name].IsArray()) return names;
+  for (const auto& id : row[name].GetArray())
+    if (id.IsString()) names += std::string(id.GetString()) + " ";
+  return names;
+}
+
+// Jobs that wait for other jobs, with the first few of those. Earlier builds do not report them.
+void print_waiting(const rapidjson::Document& status) {
+  if (!status.HasMember("waiting") || !status["waiting"].IsArray()) return;
+  if (status["waiting"].Empty()) return;
   std::cout << fmt::format("\n{:<15}{:<15}{}\n", "waiting job", "prerequisites", "first");
-  for (const auto& row : d["waiting"].GetArray()) {
-    std::string first;
-    if (row.HasMember("first") && row["first"].IsArray())
-      for (const auto& id : row["first"].GetArray())
-        if (id.IsString()) first += std::string(id.GetString()) + " ";
+  for (const auto& row : status["waiting"].GetArray())
     std::cout << fmt::format("{:<15}{:<15}{}\n", cell(row, "job"), cell(row, "prerequisites"),
-                             first);
-  }
+                             names_in(row, "first"));
 }
 
-bool print_table(const rapidjson::Document& d) {
-  if (!d.IsObject() || !d.HasMember("node") || !d["node"].IsString() || !d.HasMember("ready") ||
-      !d["ready"].IsBool() || !d.HasMember("parts") || !d["parts"].IsArray() ||
-      !d.HasMember("open_jobs") || !d["open_jobs"].IsUint64() || !d.HasMember("machines") ||
-      !d["machines"].IsUint64())
-    return false;
-  std::cout << fmt::format("node {}  {}  open jobs {}  machines {}\n\n", d["node"].GetString(),
-                           d["ready"].GetBool() ? "ready" : "not ready", d["open_jobs"].GetUint64(),
-                           d["machines"].GetUint64());
-  if (d.HasMember("stands_aside") && d["stands_aside"].IsString() &&
-      d["stands_aside"].GetStringLength() > 0)
-    std::cout << "stands aside: " << d["stands_aside"].GetString() << "\n\n";
-  const char* const columns[] = {"part",         "owner",         "term",       "jobs",
-                                 "queued_tasks", "running_tasks", "total_cpus", "used_cpus",
-                                 "waiting_cpus", "idle_machines"};
-  for (const char* c : columns) std::cout << fmt::format("{:<15}", c);
+void print_partitions(const rapidjson::Value& partitions) {
+  for (const char* column : kColumns) std::cout << fmt::format("{:<15}", column);
   std::cout << "\n";
-  for (const auto& row : d["parts"].GetArray()) {
-    for (const char* c : columns) std::cout << fmt::format("{:<15}", cell(row, c));
+  for (const auto& row : partitions.GetArray()) {
+    for (const char* column : kColumns) std::cout << fmt::format("{:<15}", cell(row, column));
     std::cout << "\n";
   }
-  print_waiting(d);
-  return true;
+}
+
+// Whether the answer has the fields that the tables need.
+bool is_status(const rapidjson::Document& status) {
+  return status.IsObject() && status.HasMember("node") && status["node"].IsString() &&
+         status.HasMember("ready") && status["ready"].IsBool() && status.HasMember("parts") &&
+         status["parts"].IsArray() && status.HasMember("open_jobs") &&
+         status["open_jobs"].IsUint64() && status.HasMember("machines") &&
+         status["machines"].IsUint64();
+}
+
+void print_tables(const rapidjson::Document& status) {
+  std::cout << fmt::format("node {}  {}  open jobs {}  machines {}\n\n", status["node"].GetString(),
+                           status["ready"].GetBool() ? "ready" : "not ready",
+                           status["open_jobs"].GetUint64(), status["machines"].GetUint64());
+  if (const std::string reason = text_in(status, "stands_aside"); !reason.empty())
+    std::cout << "stands aside: " << reason << "\n\n";
+  print_partitions(status["parts"]);
+  print_waiting(status);
 }
 
 }  // namespace
 
 int status(const std::string& addr, bool json) {
-  if (!is_address(addr)) return fail(addr, "not an address of the form IP:PORT");
+  if (!is_address(addr)) return fail_at(addr, "not an address of the form IP:PORT");
   const HttpReply reply = http_call(addr, "GET", "/status", "", constants::kStatusTimeoutMs);
-  if (reply.status == 0) return fail(addr, "no answer");
-  if (reply.status != 200) return fail(addr, fmt::format("answered {}", reply.status));
-  rapidjson::Document d;
-  d.Parse(reply.body.c_str());
-  if (d.HasParseError()) return fail(addr, "the answer is not JSON; is this an eiderreel node?");
+  if (reply.status == http_status::kNoAnswer) return fail_at(addr, "no answer");
+  if (reply.status != http_status::kOk)
+    return fail_at(addr, fmt::format("answered {}", reply.status));
+  rapidjson::Document status;
+  status.Parse(reply.body.c_str());
+  if (status.HasParseError())
+    return fail_at(addr, "the answer is not JSON; is this an eiderreel node?");
   if (json) {
     std::cout << reply.body << "\n";
-    return 0;
+    return exit_code::kSuccess;
   }
-  return print_table(d) ? 0 : fail(addr, "the answer is not a status; is this an eiderreel node?");
+  if (!is_status(status))
+    return fail_at(addr, "the answer is not a status; is this an eiderreel node?");
+  print_tables(status);
+  return exit_code::kSuccess;
 }
 
 }  // namespace eiderreel::cli
--- a/src/cli/upgrade.cc
+++ b/src/cli/upgrade.cc
@@ -1,3 +1,4 @@
+// `eiderreel upgrade`: questions about cluster versions, and the steps between them.
 #include "cli/upgrade.h"
 
 #include <fmt/format.h>
@@ -5,12 +6,16 @@
 
 #include <chrono>
 #include <iostream>
+#include <optional>
 #include <random>
 #include <thread>
 
+#include "cli/exit_code.h"
 #include "cli/http_call.h"
+#include "cli/json_fields.h"
 #include "cli/upgrade_print.h"
 #include "constants.h"
+#include "runtime/http_status.h"
 #include "upgrade/upgrade_json.h"
 
 namespace eiderreel::cli {
@@ -18,37 +23,38 @@
 
 namespace k = constants;
 
-constexpr int kDone = 0, kFailed = 1, kMalformed = 2, kNotKnown = 3;
-constexpr int kOk = 200, kBadRequest = 400, kConflict = 409, kUnavailable = 503;
+constexpr const char* kCommand = "upgrade";
 
-int fail(int code, const std::string& what) {
-  std::cerr << "eiderreel upgrade: " << what << "\n";
-  return code;
-}
+int fail(int code, const std::string& what) { return cli::fail(code, kCommand, what); }
 
 // An answer of a controller, and whose it is.
 struct Answer {
   std::string addr;
   HttpReply reply;
-  rapidjson::Document json;
+  rapidjson::Document json;  // null if the body is not JSON
 };
 
-void parse(Answer& answer) { answer.json.Parse(answer.reply.body.c_str()); }
+Answer call_controller(const std::string& addr, const std::string& method, const std::string& path,
+                       const std::string& body) {
+  Answer answer{addr, http_call(addr, method, path, body, k::kUpgradeCallMs), {}};
+  answer.json.Parse(answer.reply.body.c_str());
+  return answer;
+}
 
 std::string error_in(const Answer& answer) {
   const std::string error = text_in(answer.json, "error");
   return error.empty() ? fmt::format("answered {}", answer.reply.status) : error;
 }
 
-// Asks one controller after the other, for what changes nothing; nothing: none has answered so.
+// Asks one controller after the other until one answers; only for requests that change nothing.
+// Nothing if none has answered.
 std::optional<Answer> read_from_any(const UpgradeCall& call, const std::string& method,
                                     const std::string& path, const std::string& body) {
   for (const std::string& addr : call.addrs) {
-    Answer answer{addr, http_call(addr, method, path, body, k::kUpgradeCallMs), {}};
-    parse(answer);
-    if (answer.reply.status == kOk && answer.json.IsObject()) return answer;
-    std::cerr << "eiderreel upgrade: " << addr << ": "
-              << (answer.reply.status == 0 ? "no answer" : error_in(answer)) << "\n";
+    Answer answer = call_controller(addr, method, path, body);
+    if (answer.reply.status == http_status::kOk && answer.json.IsObject()) return answer;
+    const bool answered = answer.reply.status != http_status::kNoAnswer;
+    print_error(kCommand, addr + ": " + (answered ? error_in(answer) : "no answer"));
   }
   return std::nullopt;
 }
@@ -56,19 +62,20 @@
 int print(const UpgradeCall& call, const Answer& answer,
           std::string (*text)(const rapidjson::Document&)) {
   std::cout << (call.json ? answer.reply.body + "\n" : text(answer.json));
-  return kDone;
+  return exit_code::kSuccess;
 }
 
+// Reports the first malformed address.
 bool addresses_are_good(const UpgradeCall& call) {
   for (const std::string& addr : call.addrs)
     if (!is_address(addr)) {
-      fail(kMalformed, addr + ": not an address of the form IP:PORT");
+      fail(exit_code::kUsage, addr + ": not an address of the form IP:PORT");
       return false;
     }
   return true;
 }
 
-// A name for the request, by which its outcome can be looked up.
+// A unique name for the request, by which its outcome can be looked up.
 std::string new_request(const std::string& who) {
   std::random_device random;
   return fmt::format("{}-{:08x}{:08x}", who, random(), random());
@@ -91,49 +98,52 @@
   else
     std::cout << plan_text(answer.json) << "outcome: " << text_in(answer.json, "outcome")
               << " (request " << request << ")\n";
-  return answer.reply.status == kOk ? kDone : kFailed;
+  return answer.reply.status == http_status::kOk ? exit_code::kSuccess : exit_code::kFailure;
 }
 
-// What the durable version says of a step that got no answer; nothing: it does not tell yet.
+// Looks for the outcome of a step that got no answer. Nothing while the durable version does not
+// show it yet.
 std::optional<int> look_up(const UpgradeCall& call, const upgrade::StepOrder& order) {
   const auto status = read_from_any(call, "GET", "/upgrade/status", "");
   if (!status) return std::nullopt;
   if (text_in(status->json, "last_request") == order.request) {
     std::cout << (call.json ? R"({"outcome":"taken"})" : "outcome: taken") << "\n";
-    return kDone;
+    return exit_code::kSuccess;
   }
   const double version = number_in(status->json, "version");
   if (version == 0 || version == number(order.from) || !flag_in(status->json, "current"))
     return std::nullopt;
-  return fail(kFailed,
+  return fail(exit_code::kFailure,
               fmt::format("not taken: the cluster is at version {:.0f} by another step", version));
 }
 
-// The step is not sent again. It lands at most once, and the durable version says whether.
+// The step is not sent again, because it may still be carried out. It is carried out at most once,
+// and the durable version shows whether it was.
 int resolve(const UpgradeCall& call, const upgrade::StepOrder& order) {
-  std::cerr << "eiderreel upgrade: no answer, looking for the outcome of request " << order.request
-            << "\n";
+  print_error(kCommand, "no answer, looking for the outcome of request " + order.request);
   for (Ms waited = 0; waited < k::kUpgradeResolveMs; waited += k::kUpgradeResolveEveryMs) {
     if (const auto outcome = look_up(call, order)) return *outcome;
     std::this_thread::sleep_for(std::chrono::milliseconds(k::kUpgradeResolveEveryMs));
   }
-  return fail(kNotKnown, "unknown: request " + order.request +
-                             " may have been carried out, or may still be; see `upgrade status`");
+  return fail(exit_code::kOutcomeUnknown,
+              "unknown: request " + order.request +
+                  " may have been carried out, or may still be; see `upgrade status`");
 }
 
+// Reports what the step lacks.
 bool step_is_well_formed(const UpgradeCall& call) {
   if (call.reason.empty()) {
-    fail(kMalformed, "--reason: a changing command needs a reason for its record");
+    fail(exit_code::kUsage, "--reason: a changing command needs a reason for its record");
     return false;
   }
   if (!call.without.empty() && !call.confirmed) {
-    fail(kMalformed,
+    fail(exit_code::kUsage,
          "--without: leaving a controller out needs --yes; first make sure that it is "
          "gone, or will come back as this build");
     return false;
   }
   if (call.action == upgrade::Action::finalize && !call.confirmed) {
-    fail(kMalformed, "finalize: cannot be taken back and needs --yes");
+    fail(exit_code::kUsage, "finalize: cannot be taken back and needs --yes");
     return false;
   }
   return true;
@@ -142,49 +152,47 @@
 }  // namespace
 
 int upgrade_status(const UpgradeCall& call) {
-  if (!addresses_are_good(call)) return kMalformed;
+  if (!addresses_are_good(call)) return exit_code::kUsage;
   const auto answer = read_from_any(call, "GET", "/upgrade/status", "");
-  return answer ? print(call, *answer, status_text) : kFailed;
+  return answer ? print(call, *answer, status_text) : exit_code::kFailure;
 }
 
 int upgrade_history(const UpgradeCall& call) {
-  if (!addresses_are_good(call)) return kMalformed;
+  if (!addresses_are_good(call)) return exit_code::kUsage;
   const auto answer = read_from_any(call, "GET", "/upgrade/history", "");
-  return answer ? print(call, *answer, history_text) : kFailed;
+  return answer ? print(call, *answer, history_text) : exit_code::kFailure;
 }
 
 int upgrade_plan(const UpgradeCall& call) {
-  if (!addresses_are_good(call)) return kMalformed;
+  if (!addresses_are_good(call)) return exit_code::kUsage;
   const std::string body = codec::encode(order_of(call, upgrade::kFirstVersion));
   const auto answer = read_from_any(call, "POST", "/upgrade/plan", body);
-  if (!answer) return kFailed;
+  if (!answer) return exit_code::kFailure;
   print(call, *answer, plan_text);
-  return flag_in(answer->json, "possible") ? kDone : kFailed;
+  return flag_in(answer->json, "possible") ? exit_code::kSuccess : exit_code::kFailure;
 }
 
 int upgrade_step(const UpgradeCall& call) {
-  if (!addresses_are_good(call)) return kMalformed;
+  if (!addresses_are_good(call)) return exit_code::kUsage;
   if (call.dry_run) return upgrade_plan(call);
-  if (!step_is_well_formed(call)) return kMalformed;
+  if (!step_is_well_formed(call)) return exit_code::kUsage;
   const auto status = read_from_any(call, "GET", "/upgrade/status", "");
-  if (!status) return kFailed;
+  if (!status) return exit_code::kFailure;
   const double version = number_in(status->json, "version");
-  if (version == 0) return fail(kFailed, "the cluster version is unknown");
+  if (version == 0) return fail(exit_code::kFailure, "the cluster version is unknown");
   const auto from = static_cast<upgrade::ClusterVersion>(static_cast<std::uint32_t>(version));
   const upgrade::StepOrder order = order_of(call, from);
-  Answer answer{
-      status->addr,
-      http_call(status->addr, "POST", "/upgrade/step", codec::encode(order), k::kUpgradeCallMs),
-      {}};
-  parse(answer);
+  const Answer answer =
+      call_controller(status->addr, "POST", "/upgrade/step", codec::encode(order));
   switch (answer.reply.status) {
-    case kOk:
-    case kConflict:
-    case kUnavailable:
-      if (text_in(answer.json, "outcome").empty()) return fail(kFailed, error_in(answer));
+    case http_status::kOk:
+    case http_status::kConflict:
+    case http_status::kServiceUnavailable:
+      if (text_in(answer.json, "outcome").empty())
+        return fail(exit_code::kFailure, error_in(answer));
       return tell_outcome(call, answer, order.request);
-    case kBadRequest:
-      return fail(kMalformed, error_in(answer));
+    case http_status::kBadRequest:
+      return fail(exit_code::kUsage, error_in(answer));
     default:
       return resolve(call, order);
   }
--- a/src/cli/upgrade.h
+++ b/src/cli/upgrade.h
@@ -1,6 +1,5 @@
-// `eiderreel upgrade`: what operators ask about cluster versions, and the steps that they take.
+// `eiderreel upgrade`: questions about cluster versions, and the steps between them.
 #pragma once
-#include <optional>
 #include <set>
 #include <string>
 #include <vector>
@@ -9,21 +8,29 @@
 
 namespace eiderreel::cli {
 
+/// What an upgrade command was given on the command line.
 struct UpgradeCall {
-  std::vector<std::string> addrs;  // of controllers, asked in this order until one answers
-  bool json = false;
-  bool dry_run = false;
-  bool confirmed = false;
+  std::vector<std::string>
+      addrs;               ///< Controllers (IP:PORT), asked in this order until one answers.
+  bool json = false;       ///< Print the JSON of the answer.
+  bool dry_run = false;    ///< Only say what a step needs and would do.
+  bool confirmed = false;  ///< The operator has confirmed what cannot be taken back.
   upgrade::Action action = upgrade::Action::advance;
-  std::set<std::string> without;
-  std::string who, reason;
+  std::set<std::string> without;  ///< Controllers that are away and need not agree.
+  std::string who;                ///< Who asks, for the record.
+  std::string reason;             ///< Why, for the record.
 };
 
-// Each prints to standard output, and what went wrong to standard error. Exit codes: 0 done, 1 it
-// failed or a condition is not met, 2 malformed, 3 not known.
+// Each command prints to standard output, and what went wrong to standard error, and returns one of
+// the codes in exit_code.h.
+
+/// Versions of the cluster and its controllers.
 int upgrade_status(const UpgradeCall& call);
+/// What a step needs, and what stands in its way.
 int upgrade_plan(const UpgradeCall& call);
+/// Takes a step.
 int upgrade_step(const UpgradeCall& call);
+/// The steps that were asked for, with their outcomes.
 int upgrade_history(const UpgradeCall& call);
 
 }  // namespace eiderreel::cli
--- a/src/cli/upgrade_commands.cc
+++ b/src/cli/upgrade_commands.cc
@@ -1,3 +1,4 @@
+// `eiderreel upgrade ...`: the subcommands and their options.
 #include "cli/upgrade_commands.h"
 
 #include <cstdlib>
@@ -5,17 +6,17 @@
 namespace eiderreel::cli {
 namespace {
 
-constexpr std::size_t kNameMost = 100;  // characters, as in the requests
+constexpr std::size_t kNameMax = 100;  // characters; controllers refuse a longer one
 
-// Who asks, as the system knows them; operators may name themselves otherwise.
+// The default of --by.
 std::string login_name() {
   const char* user = std::getenv("USER");
-  return user && *user ? user : "operator";
+  return user && *user != '\0' ? user : "operator";
 }
 
-// What a record has room for; empty: it has.
-std::string is_name(const std::string& text) {
-  return !text.empty() && text.size() <= kNameMost ? "" : "must have 1 to 100 characters";
+// A validator of CLI11: the error, or empty if the name fits the record.
+std::string check_name(const std::string& text) {
+  return !text.empty() && text.size() <= kNameMax ? "" : "must have 1 to 100 characters";
 }
 
 void add_addresses(CLI::App& command, UpgradeCall& call) {
@@ -28,7 +29,7 @@
   add_addresses(command, call);
   command.add_option("--without", call.without, "go on without this controller, which is away");
   command.add_option("--by", call.who, "who asks, for the record")
-      ->check(is_name, "NAME")
+      ->check(check_name, "NAME")
       ->capture_default_str();
 }
 
@@ -70,9 +71,9 @@
     call_.reason = "plan";
     return upgrade_plan(call_);
   }
-  call_.action = *advance_ ? upgrade::Action::advance
-                 : *abort_ ? upgrade::Action::abort
-                           : upgrade::Action::finalize;
+  call_.action = upgrade::Action::finalize;
+  if (*advance_) call_.action = upgrade::Action::advance;
+  if (*abort_) call_.action = upgrade::Action::abort;
   if (call_.dry_run) call_.reason = "dry run";
   return upgrade_step(call_);
 }
--- a/src/cli/upgrade_print.cc
+++ b/src/cli/upgrade_print.cc
@@ -1,3 +1,4 @@
+// Answers to the upgrade commands as tables for people.
 #include "cli/upgrade_print.h"
 
 #include <date/date.h>
@@ -6,23 +7,15 @@
 #include <chrono>
 #include <cmath>
 
+#include "cli/json_fields.h"
+
 namespace eiderreel::cli {
 namespace {
 
 using rapidjson::Value;
 
-constexpr char kUnknown[] = "unknown";
-
-const Value* find(const Value& object, const char* name) {
-  if (!object.IsObject()) return nullptr;
-  const auto member = object.FindMember(name);
-  return member == object.MemberEnd() ? nullptr : &member->value;
-}
-
-const Value* list_in(const Value& object, const char* name) {
-  const Value* list = find(object, name);
-  return list && list->IsArray() ? list : nullptr;
-}
+constexpr const char* kUnknown = "unknown";
+constexpr double kRateMin = 0.01;  // values a second; a slower conversion has no useful estimate
 
 // A version, or that it is not known.
 std::string version_in(const Value& object, const char* name) {
@@ -63,22 +56,26 @@
   return out;
 }
 
+// When a conversion will end, given the values left and the values converted a second.
+std::string estimate(double left, double per_s) {
+  if (left == 0) return "none left";
+  if (per_s < kRateMin) return fmt::format("end {}", kUnknown);
+  return fmt::format("about {:.0f} s left", std::ceil(left / per_s));
+}
+
 std::string conversion_text(const Value& status) {
-  const Value* conversion = find(status, "conversion");
+  const Value* conversion = field_in(status, "conversion");
   if (!conversion) return "";
   const std::string to = text_in(*conversion, "to");
   std::string out;
   if (to == "none") {
     out = "no conversion goes on\n";
   } else {
-    const double left = number_in(*conversion, "left"), per_s = number_in(*conversion, "per_s");
-    const std::string estimate = left == 0 ? "none left"
-                                 : per_s < 0.01
-                                     ? "end " + std::string(kUnknown)
-                                     : fmt::format("about {:.0f} s left", std::ceil(left / per_s));
+    const double left = number_in(*conversion, "left");
+    const double per_s = number_in(*conversion, "per_s");
     out =
         fmt::format("conversion to {}: {:.0f} values left, {:.0f} converted, {:.2f} a second, {}\n",
-                    to, left, number_in(*conversion, "converted"), per_s, estimate);
+                    to, left, number_in(*conversion, "converted"), per_s, estimate(left, per_s));
   }
   if (const double unreadable = number_in(*conversion, "unreadable"); unreadable > 0)
     out += fmt::format("{:.0f} values cannot be read\n", unreadable);
@@ -88,23 +85,24 @@
   return out;
 }
 
-}  // namespace
-
-std::string text_in(const Value& object, const char* name) {
-  const Value* value = find(object, name);
-  return value && value->IsString() ? std::string(value->GetString(), value->GetStringLength())
-                                    : std::string();
-}
-
-double number_in(const Value& object, const char* name) {
-  const Value* value = find(object, name);
-  return value && value->IsNumber() ? value->GetDouble() : 0;
+// A step that was asked for, and below it what stood in its way.
+std::string history_row(const Value& row) {
+  std::string out =
+      fmt::format("{}  {}  {}", time_in(row, "at_ms"), text_in(row, "who"), text_in(row, "action"));
+  out +=
+      fmt::format(" from {} to {}: {}", version_in(row, "from"),
+                  number_in(row, "to") > 0 ? version_in(row, "to") : "-", text_in(row, "outcome"));
+  out += fmt::format("  (asked {}, request {}, reason: {})\n", text_in(row, "controller"),
+                     text_in(row, "request"), text_in(row, "reason"));
+  if (const std::string without = joined(list_in(row, "without")); !without.empty())
+    out += "    without " + without + "\n";
+  if (const Value* obstacles = list_in(row, "obstacles"))
+    for (const auto& obstacle : obstacles->GetArray())
+      out += fmt::format("    missing: {}\n", obstacle.GetString());
+  return out;
 }
 
-bool flag_in(const Value& object, const char* name) {
-  const Value* value = find(object, name);
-  return value && value->IsBool() && value->GetBool();
-}
+}  // namespace
 
 std::string status_text(const rapidjson::Document& status) {
   std::string out = fmt::format("cluster version {}", version_in(status, "version"));
@@ -125,7 +123,8 @@
 }
 
 std::string plan_text(const rapidjson::Document& plan) {
-  const std::string action = text_in(plan, "action"), effect = text_in(plan, "effect");
+  const std::string action = text_in(plan, "action");
+  const std::string effect = text_in(plan, "effect");
   std::string out = fmt::format("{} from version {}", action, version_in(plan, "from"));
   if (number_in(plan, "to") > 0) out += " to version " + version_in(plan, "to");
   out += "\n";
@@ -144,20 +143,7 @@
   const Value* rows = list_in(history, "history");
   if (!rows || rows->Empty()) return "no step was asked for\n";
   std::string out;
-  for (const auto& row : rows->GetArray()) {
-    out += fmt::format("{}  {}  {}", time_in(row, "at_ms"), text_in(row, "who"),
-                       text_in(row, "action"));
-    out += fmt::format(" from {} to {}: {}", version_in(row, "from"),
-                       number_in(row, "to") > 0 ? version_in(row, "to") : "-",
-                       text_in(row, "outcome"));
-    out += fmt::format("  (asked {}, request {}, reason: {})\n", text_in(row, "controller"),
-                       text_in(row, "request"), text_in(row, "reason"));
-    if (const std::string without = joined(list_in(row, "without")); !without.empty())
-      out += "    without " + without + "\n";
-    if (const Value* obstacles = list_in(row, "obstacles"))
-      for (const auto& obstacle : obstacles->GetArray())
-        out += fmt::format("    missing: {}\n", obstacle.GetString());
-  }
+  for (const auto& row : rows->GetArray()) out += history_row(row);
   return out;
 }
 
--- a/src/cli/upgrade_print.h
+++ b/src/cli/upgrade_print.h
@@ -1,4 +1,4 @@
-// The answers to the upgrade commands, as tables for people.
+// Answers to the upgrade commands as tables for people.
 #pragma once
 #include <rapidjson/document.h>
 
@@ -6,13 +6,11 @@
 
 namespace eiderreel::cli {
 
-// Fields of an answer; what is missing or of another type is empty or zero.
-std::string text_in(const rapidjson::Value& object, const char* name);
-double number_in(const rapidjson::Value& object, const char* name);
-bool flag_in(const rapidjson::Value& object, const char* name);
-
+/// The cluster's version, the controllers with their builds, and the state of the conversion.
 std::string status_text(const rapidjson::Document& status);
+/// What a step needs and does, and what stands in its way.
 std::string plan_text(const rapidjson::Document& plan);
+/// The steps that were asked for, with their outcomes.
 std::string history_text(const rapidjson::Document& history);
 
 }  // namespace eiderreel::cli
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,78 +1,86 @@
-// The platform's settings file and the operators' own, as values.
+// The settings of a controller as values; settings_file.cc reads them.
 #pragma once
-#include <algorithm>
 #include <map>
 #include <string>
 #include <vector>
 
+#include "config/config_problem.h"
 #include "config/upgrade_settings.h"
+#include "constants.h"
 #include "model/team.h"
 
 namespace eiderreel {
 
+/// Another controller, as the settings file lists it.
 struct Peer {
-  std::string name, zone, peer_addr;
+  std::string name;
+  std::string zone;
+  std::string peer_addr;  ///< IP:PORT where it listens for peers.
 };
 
+/// The settings of one controller. The platform's file gives everything except `upgrade`.
 struct Settings {
-  std::string node, zone, api_addr, peer_addr;
+  std::string node;       ///< Name of this controller.
+  std::string zone;       ///< Zone it runs in.
+  std::string api_addr;   ///< IP:PORT where it serves HTTP.
+  std::string peer_addr;  ///< IP:PORT where it listens for peers.
   std::vector<Peer> peers;
-  std::string cloud_addr, state_addr;
+  std::string cloud_addr;  ///< IP:PORT of the cloud's API.
+  std::string state_addr;  ///< IP:PORT of the state store.
+
   int partition_count = 1;
   std::vector<std::string> zones;
-  double skew_ms = 0;
+  double skew_ms = 0;  ///< Milliseconds by which wall clocks may differ.
   std::vector<Team> teams;
-  std::map<std::string, std::vector<CompletionObjective>>
-      completion_objectives;  // by class of jobs
-  double fair_share_start_s =
-      constants::kFairShareStartS;  // work within a fair share starts by then
-  std::map<std::string, double>
-      start_objectives_s;  // by class: its tasks should start within so long
-  double heartbeat_interval_s = 1, lease_s = 10, cancel_s = 40;
-  // The lower of the limits as they are and as they will be (`state.next`).
-  double state_rps = 50, state_write_rps = 20, state_value_kb = 8;
-  int state_txn_ops = 16;
-  double cloud_rps = 4, list_lag_s = 5;
-  double core_share = 1, memory_mb = 64;
-  int max_sockets = 1000;
-  upgrade::UpgradeSettings upgrade;  // the operators' own; see load_upgrade_settings
 
-  std::vector<std::string> node_names() const {  // sorted; the same on every node
-    std::vector<std::string> n{node};
-    for (const auto& p : peers) n.push_back(p.name);
-    std::sort(n.begin(), n.end());
-    return n;
-  }
-  // Machines in one transaction. One that has more changes than the state store takes in
-  // a second is always refused, and sent again, for ever.
-  int batch() const {
-    const double most = state_write_rps * constants::kBatchShare;
-    return std::clamp(static_cast<int>(most), 1, state_txn_ops);
-  }
-  // The partition that a team is in: teams are dealt out in the order of the settings.
-  int partition_of_team(const std::string& team) const {
-    for (std::size_t i = 0; i < teams.size(); ++i)
-      if (teams[i].name == team)
-        return static_cast<int>(i % static_cast<std::size_t>(partition_count));
-    return -1;
-  }
-  std::vector<Team> teams_of(int partition) const {
-    std::vector<Team> out;
-    for (const auto& t : teams)
-      if (partition_of_team(t.name) == partition) out.push_back(t);
-    return out;
-  }
-  std::string preferred_leader_of(int partition) const {
-    auto n = node_names();
-    return n[static_cast<std::size_t>(partition) % n.size()];
-  }
+  /// Objectives for the completion of jobs, by job class.
+  std::map<std::string, std::vector<CompletionObjective>> completion_objectives;
+  /// Seconds within which work inside a team's fair share should start.
+  double fair_share_start_s = constants::kFairShareStartS;
+  /// Seconds within which the tasks of a job should start, by job class.
+  std::map<std::string, double> start_objectives_s;
+
+  double heartbeat_interval_s = 1;  ///< Seconds between heartbeats of a worker.
+  double lease_s = 10;              ///< Seconds that a worker's lease lasts.
+  double cancel_s = 40;             ///< Seconds that a worker may take to stop a task.
+
+  // Limits of the state store. Where the file announces future limits (`params.state.next`), these
+  // are the lower of the present and the future ones.
+  double state_rps = 50;        ///< Requests a second, of all controllers together.
+  double state_write_rps = 20;  ///< Changes a second, of all controllers together.
+  double state_value_kb = 8;    ///< KiB in one value.
+  int state_txn_ops = 16;       ///< Changes in one transaction.
+
+  double cloud_rps = 4;   ///< Requests a second that the cloud accepts.
+  double list_lag_s = 5;  ///< Seconds by which the cloud's list of machines may lag.
+
+  double core_share = 1;   ///< CPUs that this controller may use.
+  double memory_mb = 64;   ///< MiB of memory that it may use.
+  int max_sockets = 1000;  ///< Sockets that it may have open.
+
+  upgrade::UpgradeSettings upgrade;  ///< From the operators' file; see load_upgrade_settings.
+
+  /// Names of all controllers, sorted, so that every controller has the same list.
+  std::vector<std::string> node_names() const;
+  /// Changes in one transaction at most. A transaction with more changes than the state store
+  /// accepts in a second would be refused every time it is retried.
+  int batch() const;
+  /// The partition of a team, -1 if the team is unknown. Teams are dealt out in the order of the
+  /// settings file.
+  int partition_of_team(const std::string& team) const;
+  /// The teams of a partition, in the order of the settings file.
+  std::vector<Team> teams_of(int partition) const;
+  /// The controller that leads the partition when all controllers are up.
+  std::string preferred_leader_of(int partition) const;
 };
 
-// Reads a settings file; every problem becomes one line "FILE: FIELD: what is wrong".
+/// What was read from a settings file. The settings may only be used if there are no problems.
 struct SettingsResult {
   Settings settings;
-  std::vector<std::string> problems;
+  std::vector<ConfigProblem> problems;
 };
+
+/// Reads the platform's settings file and reports all of its problems at once.
 SettingsResult load_settings(const std::string& file);
 
 }  // namespace eiderreel
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -1,83 +1,60 @@
-// Reading of settings files: every problem is noted with its file and field.
+// Typed access to the fields of a TOML settings file that records every problem it meets.
 #pragma once
-#define TOML_EXCEPTIONS 0
 #include <toml++/toml.h>
 
-#include <algorithm>
+#include <optional>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "config/config_problem.h"
+
 namespace eiderreel {
 
-// Reads fields and notes every problem as "FILE: FIELD: what is wrong".
+/// Reads fields out of TOML tables. A field that is missing or malformed is recorded as a problem
+/// and its output keeps its value, so that one run reports all problems of a file.
+///
+/// In all functions `path` is the dotted path of the table, with its trailing dot, or empty for the
+/// top level; it is only used to name fields in problems.
 class TomlReader {
  public:
-  TomlReader(std::string file, std::vector<std::string>& problems)
+  /// Problems are appended to `problems`, which must outlive the reader.
+  TomlReader(std::string file, std::vector<ConfigProblem>& problems)
       : file_(std::move(file)), problems_(problems) {}
 
-  void problem(const std::string& field, const std::string& what) {
-    problems_.push_back(file_ + ": " + field + ": " + what);
-  }
+  /// Parses the whole file. Nothing if it cannot be opened or is not TOML; that is recorded.
+  std::optional<toml::table> parse();
+
+  /// Records a problem of a field.
+  void problem(const std::string& field, const std::string& message);
 
-  const toml::table* table(const toml::table& t, const std::string& path, const char* name) {
-    const auto* n = t.get(name);
-    if (!n || !n->is_table()) {
-      problem(path + name, n ? "must be a table" : "is missing");
-      return nullptr;
-    }
-    return n->as_table();
-  }
+  /// The sub-table `name`; null, with a problem recorded, if it is missing or no table.
+  const toml::table* table(const toml::table& parent, const std::string& path, const char* name);
 
-  void text(const toml::table& t, const std::string& path, const char* name, std::string& out) {
-    const auto* n = t.get(name);
-    if (!n) return problem(path + name, "is missing");
-    if (!n->is_string() || n->as_string()->get().empty())
-      return problem(path + name, "must be a text");
-    out = n->as_string()->get();
-  }
+  /// The entry of a list as a table; null, with a problem recorded, if it is none.
+  const toml::table* entry(const toml::array& list, std::size_t index, const std::string& path);
 
-  void address(const toml::table& t, const std::string& path, const char* name, std::string& out) {
-    text(t, path, name, out);
-    if (out.empty()) return;
-    const auto colon = out.rfind(':');
-    const bool port = colon != std::string::npos && colon > 0 && out.size() - colon - 1 >= 1 &&
-                      out.size() - colon - 1 <= 5 &&
-                      std::all_of(out.begin() + static_cast<long>(colon) + 1, out.end(),
-                                  [](char c) { return c >= '0' && c <= '9'; });
-    if (!port || std::stoi(out.substr(colon + 1)) > 65535 || std::stoi(out.substr(colon + 1)) == 0)
-      problem(path + name, "must be IP:PORT");
-  }
+  /// A text that is not empty.
+  void text(const toml::table& table, const std::string& path, const char* name, std::string& out);
 
-  void number(const toml::table& t, const std::string& path, const char* name, double low,
-              double high, double& out) {
-    const auto* n = t.get(name);
-    if (!n) return problem(path + name, "is missing");
-    if (!n->is_number()) return problem(path + name, "must be a number");
-    const double v = n->value<double>().value_or(0);
-    if (!(v >= low && v <= high))
-      return problem(path + name, "must be between " + show(low) + " and " + show(high));
-    out = v;
-  }
+  /// An address of the form HOST:PORT.
+  void address(const toml::table& table, const std::string& path, const char* name,
+               std::string& out);
 
-  void whole(const toml::table& t, const std::string& path, const char* name, int low, int high,
-             int& out) {
-    const auto* n = t.get(name);
-    if (n && !n->is_integer()) return problem(path + name, "must be a whole number");
-    double v = out;
-    number(t, path, name, low, high, v);
-    out = static_cast<int>(v);
-  }
+  /// A number between `low` and `high`, both included.
+  void number(const toml::table& table, const std::string& path, const char* name, double low,
+              double high, double& out);
+
+  /// A whole number between `low` and `high`, both included.
+  void whole(const toml::table& table, const std::string& path, const char* name, int low, int high,
+             int& out);
 
  private:
-  static std::string show(double v) {
-    std::string s = std::to_string(v);
-    s.erase(s.find_last_not_of('0') + 1);
-    if (s.back() == '.') s.pop_back();
-    return s;
-  }
   std::string file_;
-  std::vector<std::string>& problems_;
+  std::vector<ConfigProblem>& problems_;
 };
 
+/// The path of an entry of a list, with its trailing dot: "params.teams[0].".
+std::string entry_path(const std::string& list, std::size_t index);
+
 }  // namespace eiderreel
--- a/src/config/upgrade_settings.cc
+++ b/src/config/upgrade_settings.cc
@@ -1,14 +1,18 @@
+// Reads the operators' upgrade file.
 #include "config/upgrade_settings.h"
 
 #include <optional>
+#include <utility>
 
 #include "config/toml_reader.h"
 
 namespace eiderreel::upgrade {
 namespace {
 
-constexpr double kLeastShare = 0.001;  // of the changes; with less a conversion would never end
-constexpr double kMostShare = 0.5;     // the rest is for the work itself
+// Bounds of conversion_share. With less a conversion would never end; with more the scheduling of
+// jobs would lack changes.
+constexpr double kConversionShareMin = 0.001;
+constexpr double kConversionShareMax = 0.5;
 
 void read_newest_version(TomlReader& reader, const toml::table& table, VersionRange& range) {
   if (!table.contains("newest_version")) return;
@@ -46,12 +50,9 @@
     return windows;
   }
   for (std::size_t i = 0; i < entries->size(); ++i) {
-    const std::string path = list + "[" + std::to_string(i) + "].";
-    const auto* entry = entries->get(i)->as_table();
-    if (!entry) {
-      reader.problem(path, "must be a table");
-      continue;
-    }
+    const std::string path = entry_path(list, i);
+    const auto* entry = reader.entry(*entries, i, path);
+    if (!entry) continue;
     MaintenanceWindow window;
     read_days(reader, *entry, path, window);
     read_time(reader, *entry, path, "from", window.from);
@@ -78,25 +79,21 @@
 
 }  // namespace
 
-std::vector<std::string> load_upgrade_settings(const std::string& file, UpgradeSettings& out) {
-  std::vector<std::string> problems;
-  TomlReader reader(file, problems);
-  const toml::parse_result parsed = toml::parse_file(file);
-  if (!parsed) {
-    const auto line = parsed.error().source().begin.line;
-    reader.problem(line ? "line " + std::to_string(line) : "file",
-                   std::string(parsed.error().description()));
-    return problems;
-  }
-  const auto* table = reader.table(parsed.table(), "", "upgrade");
-  if (!table) return problems;
-  out.enabled = true;
-  read_newest_version(reader, *table, out.range);
+UpgradeSettingsResult load_upgrade_settings(const std::string& file, UpgradeSettings defaults) {
+  UpgradeSettingsResult result{std::move(defaults), {}};
+  TomlReader reader(file, result.problems);
+  const auto parsed = reader.parse();
+  if (!parsed) return result;
+  const toml::table* table = reader.table(*parsed, "", "upgrade");
+  if (!table) return result;
+  UpgradeSettings& settings = result.settings;
+  settings.enabled = true;
+  read_newest_version(reader, *table, settings.range);
   if (table->contains("conversion_share"))
-    reader.number(*table, "upgrade.", "conversion_share", kLeastShare, kMostShare,
-                  out.conversion_share);
-  read_automatic(reader, *table, out);
-  return problems;
+    reader.number(*table, "upgrade.", "conversion_share", kConversionShareMin, kConversionShareMax,
+                  settings.conversion_share);
+  read_automatic(reader, *table, settings);
+  return result;
 }
 
 }  // namespace eiderreel::upgrade
--- a/src/config/upgrade_settings.h
+++ b/src/config/upgrade_settings.h
@@ -1,25 +1,37 @@
-// The operators' settings for upgrades; a file of their own, beside the platform's.
+// The operators' settings for upgrades, which have a file of their own.
 #pragma once
 #include <string>
 #include <vector>
 
+#include "config/config_problem.h"
 #include "versioning/cluster_version.h"
 #include "versioning/maintenance_window.h"
 
 namespace eiderreel::upgrade {
 
+/// How this controller takes part in upgrades of the cluster.
 struct UpgradeSettings {
-  bool enabled = false;  // no file was given: the controller takes no part in cluster versions
-  VersionRange range;    // of the build; the file may lower its upper end
-  std::string build;     // its name, for people
-  // Of this controller's part of the changes a second that the state store takes.
+  /// Whether a file was given. Without one the controller takes no part in cluster versions.
+  bool enabled = false;
+  /// Cluster versions of this build; the file may lower the newest one.
+  VersionRange range;
+  /// Name of this build, for people.
+  std::string build;
+  /// Share of this controller's changes a second that a conversion of stored values may use.
   double conversion_share = 0.1;
+  /// Whether steps are taken without an operator, inside `windows`.
   bool automatic = false;
   MaintenanceWindows windows;
 };
 
-// Reads the file into `out`, which is enabled by it; every problem becomes one line
-// "FILE: FIELD: what is wrong".
-std::vector<std::string> load_upgrade_settings(const std::string& file, UpgradeSettings& out);
+/// What was read from an upgrade file. The settings may only be used if there are no problems.
+struct UpgradeSettingsResult {
+  UpgradeSettings settings;
+  std::vector<ConfigProblem> problems;
+};
+
+/// Reads the operators' upgrade file and reports all of its problems at once. What the file does
+/// not state is taken from `defaults`, in which the build describes itself.
+UpgradeSettingsResult load_upgrade_settings(const std::string& file, UpgradeSettings defaults);
 
 }  // namespace eiderreel::upgrade
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,56 +1,69 @@
-// libevent under the actors: the loop, with the HTTP server, the clients and the peer links.
+// The event loop under all actors, over libevent.
 #pragma once
 #include <functional>
-#include <map>
+#include <list>
 #include <memory>
+#include <random>
 #include <string>
-#include <vector>
+#include <tl/expected.hpp>
 
 #include "config/settings.h"
-#include "net/http_client.h"
+#include "net/http_client_pool.h"
+#include "net/http_server.h"
+#include "net/libevent_handles.h"
+#include "net/listen_error.h"
+#include "net/peer_links.h"
 #include "runtime/runtime.h"
 
-struct evhttp;
-struct evhttp_request;
-struct evconnlistener;
-struct bufferevent;
-
 namespace eiderreel::net {
 
-class PeerLinks;
-
-class Loop : public Runtime {
+/// The Runtime of a real process: clocks, timers, and the network. Runs everything in one thread.
+class EventLoop : public Runtime {
  public:
-  using OnRequest = std::function<void(const std::string& method, const std::string& path,
-                                       const std::string& body, Reply reply)>;
-  using OnFrame = std::function<void(const std::string&)>;
-
-  explicit Loop(const Settings& settings);
-  ~Loop() override;
-  // False when an address cannot be bound; `error` says which.
-  bool listen(OnRequest on_request, OnFrame on_frame, std::string& error);
-  void every(Ms period, std::function<void()> f);
+  /// `settings` must outlive the loop.
+  explicit EventLoop(const Settings& settings);
+  ~EventLoop() override;
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
+  EventLoop(EventLoop&&) = delete;
+  EventLoop& operator=(EventLoop&&) = delete;
+
+  /// Starts to serve HTTP on api_addr and peers on mesh_addr, and to connect to the peers.
+  tl::expected<void, ListenError> listen(HttpServer::OnRequest on_request,
+                                         PeerLinks::OnFrame on_frame);
+  /// Calls back periodically, for as long as the loop lives.
+  void every(Ms period, std::function<void()> callback);
+  /// Handles events until the process ends.
   void run();
 
   Ms now() const override;
   Ms wall() const override;
   double random() override;
   std::string boot_id() const override { return boot_id_; }
-  void after(Ms delay, std::function<void()> f) override;
-  void http(HttpRequest r, std::function<void(HttpReply)> done) override;
+  void after(Ms delay, std::function<void()> callback) override;
+  void http(HttpRequest request, std::function<void(HttpReply)> done) override;
   void send(const std::string& node, const std::string& bytes) override;
 
  private:
-  static void on_http(evhttp_request* req, void* arg);
+  struct OneShotTimer;
+  struct PeriodicTimer {
+    std::function<void()> callback;
+    EventPtr event;
+  };
+
+  static void on_one_shot(evutil_socket_t socket, short events, void* timer);
+  static void on_periodic(evutil_socket_t socket, short events, void* timer);
 
   const Settings& settings_;
-  Base base_;
-  evhttp* server_ = nullptr;
-  OnRequest on_request_;
-  std::map<std::string, std::unique_ptr<HttpClient>> clients_;
-  std::unique_ptr<PeerLinks> peer_links_;
-  std::vector<std::pair<event*, std::unique_ptr<std::function<void()>>>> periodic_;
   std::string boot_id_;
+  std::mt19937_64 random_engine_;
+  // All members below hold events of this base, so that it must be freed last.
+  EventBasePtr base_;
+  HttpClientPool clients_;
+  std::unique_ptr<PeerLinks> peer_links_;
+  std::unique_ptr<HttpServer> http_server_;
+  std::list<OneShotTimer> one_shot_timers_;
+  std::list<PeriodicTimer> periodic_timers_;
 };
 
 }  // namespace eiderreel::net
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -1,123 +1,99 @@
+// HTTP requests to one address over libevent.
 #include "net/http_client.h"
 
-#include <arpa/inet.h>
-#include <event2/buffer.h>
-#include <event2/http.h>
-#include <event2/util.h>
+#include <utility>
 
-#include <algorithm>
+#include "runtime/http_status.h"
 
 namespace eiderreel::net {
+namespace {
 
-timeval to_timeval(Ms ms) {
-  return {static_cast<time_t>(ms / 1000), static_cast<suseconds_t>((ms % 1000) * 1000)};
-}
-
-std::string take_body(evhttp_request* req) {
-  evbuffer* in = evhttp_request_get_input_buffer(req);
-  std::string body(evbuffer_get_length(in), '\0');
-  evbuffer_remove(in, body.data(), body.size());
-  return body;
+evhttp_cmd_type command_of(const std::string& method) {
+  if (method == "GET") return EVHTTP_REQ_GET;
+  if (method == "POST") return EVHTTP_REQ_POST;
+  return EVHTTP_REQ_DELETE;
 }
 
-bool parse_address(const std::string& text, Address& out) {
-  auto colon = text.rfind(':');
-  if (colon == std::string::npos || colon == 0) return false;
-  out.host = text.substr(0, colon);
-  const std::string port = text.substr(colon + 1);
-  if (port.empty() || port.size() > 5 ||
-      !std::all_of(port.begin(), port.end(), [](char c) { return c >= '0' && c <= '9'; }))
-    return false;
-  out.port = std::stoi(port);
-  in_addr a{};
-  return out.port > 0 && out.port < 65536 && evutil_inet_pton(AF_INET, out.host.c_str(), &a) == 1;
+void write_request(evhttp_request* target, const Address& address, const HttpRequest& request) {
+  evkeyvalq* headers = evhttp_request_get_output_headers(target);
+  const std::string host = address.host + ":" + std::to_string(address.port);
+  evhttp_add_header(headers, "Host", host.c_str());
+  if (request.once) evhttp_add_header(headers, "Connection", "close");
+  if (request.body.empty()) return;
+  evhttp_add_header(headers, "Content-Type", "application/json");
+  evbuffer_add(evhttp_request_get_output_buffer(target), request.body.data(), request.body.size());
 }
 
-sockaddr_in to_sockaddr(const std::string& text) {
-  Address a;
-  parse_address(text, a);
-  sockaddr_in sin{};
-  sin.sin_family = AF_INET;
-  sin.sin_port = htons(static_cast<std::uint16_t>(a.port));
-  inet_pton(AF_INET, a.host.c_str(), &sin.sin_addr);
-  return sin;
-}
+}  // namespace
 
+// A request on its way. It lives in `open_` until libevent calls on_done with it.
 struct HttpClient::Call {
   HttpClient* client;
-  evhttp_connection* conn;
-  std::function<void(HttpReply)> done;
   bool once;
+  OnReply on_reply;
+  EvhttpConnectionPtr connection;
+  std::list<Call>::iterator self;
 };
 
-namespace {
+HttpClient::HttpClient(event_base* base, Address address)
+    : base_(base),
+      address_(std::move(address)),
+      free_failed_(event_new(base, -1, EV_TIMEOUT, &HttpClient::on_free_failed, this)) {}
+
+HttpClient::~HttpClient() = default;
 
-// Where it could not connect or timed out, libevent does not free a connection "on
-// completion"; each such request left its connection behind for ever.
-void free_connection_soon(event_base* base, evhttp_connection* connection) {
-  const timeval now{};
-  event_base_once(
-      base, -1, EV_TIMEOUT,
-      [](evutil_socket_t, short, void* arg) {
-        evhttp_connection_free(static_cast<evhttp_connection*>(arg));
-      },
-      connection, &now);
+EvhttpConnectionPtr HttpClient::take_connection() {
+  if (idle_.empty())
+    return EvhttpConnectionPtr(
+        evhttp_connection_base_new(base_, nullptr, address_.host.c_str(), address_.port));
+  EvhttpConnectionPtr connection = std::move(idle_.back());
+  idle_.pop_back();
+  return connection;
 }
 
-}  // namespace
+// Where it could not connect or timed out, libevent does not free a connection "on completion", and
+// within its callback it still uses it.
+void HttpClient::free_soon(EvhttpConnectionPtr connection) {
+  failed_.push_back(std::move(connection));
+  event_active(free_failed_.get(), EV_TIMEOUT, 1);
+}
 
-// What is open ends without an answer, and nobody is told.
-HttpClient::~HttpClient() {
-  for (auto* c : idle_) evhttp_connection_free(c);
-  for (Call* call : open_) {
-    evhttp_connection_free(call->conn);
-    delete call;
-  }
+void HttpClient::on_free_failed(evutil_socket_t /*socket*/, short /*events*/, void* client) {
+  static_cast<HttpClient*>(client)->failed_.clear();
 }
 
-void HttpClient::on_done(evhttp_request* req, void* arg) {
-  std::unique_ptr<Call> call(static_cast<Call*>(arg));
-  call->client->open_.erase(call.get());
+void HttpClient::on_done(evhttp_request* request, void* call) {
+  const auto self = static_cast<Call*>(call)->self;
+  Call done = std::move(*self);
+  HttpClient& client = *done.client;
+  client.open_.erase(self);
   HttpReply reply;
-  if (req && evhttp_request_get_response_code(req) != 0) {
-    reply.status = evhttp_request_get_response_code(req);
-    reply.body = take_body(req);
-    if (call->once)
-      evhttp_connection_free_on_completion(call->conn);
+  // Null, or without a status, where the connection failed or timed out.
+  if (request && evhttp_request_get_response_code(request) != http_status::kNoAnswer) {
+    reply.status = evhttp_request_get_response_code(request);
+    reply.body = take_body(request);
+    if (done.once)
+      evhttp_connection_free_on_completion(done.connection.release());
     else
-      call->client->idle_.push_back(call->conn);
+      client.idle_.push_back(std::move(done.connection));
   } else {
-    free_connection_soon(call->client->base_, call->conn);
+    client.free_soon(std::move(done.connection));
   }
-  call->done(std::move(reply));
+  done.on_reply(std::move(reply));
 }
 
-void HttpClient::send(HttpRequest r, std::function<void(HttpReply)> done) {
-  evhttp_connection* conn = nullptr;
-  if (!idle_.empty()) {
-    conn = idle_.back();
-    idle_.pop_back();
-  } else {
-    conn = evhttp_connection_base_new(base_, nullptr, addr_.host.c_str(),
-                                      static_cast<std::uint16_t>(addr_.port));
-  }
-  const timeval tv = to_timeval(r.timeout);
-  evhttp_connection_set_timeout_tv(conn, &tv);
-  auto* call = new Call{this, conn, std::move(done), r.once};  // freed by on_done
-  open_.insert(call);
-  evhttp_request* req = evhttp_request_new(&HttpClient::on_done, call);
-  evkeyvalq* headers = evhttp_request_get_output_headers(req);
-  evhttp_add_header(headers, "Host", (addr_.host + ":" + std::to_string(addr_.port)).c_str());
-  if (r.once) evhttp_add_header(headers, "Connection", "close");
-  if (!r.body.empty()) {
-    evhttp_add_header(headers, "Content-Type", "application/json");
-    evbuffer_add(evhttp_request_get_output_buffer(req), r.body.data(), r.body.size());
-  }
-  evhttp_cmd_type type = r.method == "GET"    ? EVHTTP_REQ_GET
-                         : r.method == "POST" ? EVHTTP_REQ_POST
-                                              : EVHTTP_REQ_DELETE;
-  // On failure libevent has called on_done or freed the request; nothing is left to do here.
-  evhttp_make_request(conn, req, type, r.path.c_str());
+void HttpClient::send(const HttpRequest& request, OnReply on_reply) {
+  Call& call = open_.emplace_back(
+      Call{this, request.once, std::move(on_reply), take_connection(), open_.end()});
+  call.self = std::prev(open_.end());
+  evhttp_connection* connection = call.connection.get();
+  const timeval timeout = to_timeval(request.timeout);
+  evhttp_connection_set_timeout_tv(connection, &timeout);
+  evhttp_request* target = evhttp_request_new(&HttpClient::on_done, &call);
+  write_request(target, address_, request);
+  // The connection owns the request from here on. On failure libevent has called on_done or freed
+  // the request, and nothing is left to do.
+  evhttp_make_request(connection, target, command_of(request.method), request.path.c_str());
 }
 
 }  // namespace eiderreel::net
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,53 +1,49 @@
-// HTTP requests over libevent, and the addresses they go to.
+// HTTP requests to one address over libevent.
 #pragma once
-#include <event2/event.h>
-#include <netinet/in.h>
-
 #include <functional>
-#include <memory>
-#include <set>
-#include <string>
+#include <list>
 #include <vector>
 
+#include "net/address.h"
+#include "net/libevent_handles.h"
 #include "runtime/runtime.h"
 
-struct evhttp_connection;
-struct evhttp_request;
-
 namespace eiderreel::net {
 
-struct BaseFree {
-  void operator()(event_base* b) const { event_base_free(b); }
-};
-using Base = std::unique_ptr<event_base, BaseFree>;
-
-// "10.0.0.1:8080" in two.
-struct Address {
-  std::string host;
-  int port = 0;
-};
-bool parse_address(const std::string& text, Address& out);
-sockaddr_in to_sockaddr(const std::string& text);
-
-// Clients of one address: a few connections, each with one request at a time. A connection that
-// failed or timed out is never used again, so a late answer cannot meet a later request.
+/// Client of one address. Opens as many connections as there are requests at the same time, each
+/// with one request at a time, and keeps them for later requests. A connection that failed or timed
+/// out is never used again, so that a late answer cannot be taken for that of a later request.
 class HttpClient {
  public:
-  HttpClient(event_base* base, Address addr) : base_(base), addr_(std::move(addr)) {}
+  using OnReply = std::function<void(HttpReply)>;
+
+  /// `base` must outlive the client.
+  HttpClient(event_base* base, Address address);
+  /// Requests still open end here; their callbacks are not called.
   ~HttpClient();
-  void send(HttpRequest r, std::function<void(HttpReply)> done);
+  HttpClient(const HttpClient&) = delete;
+  HttpClient& operator=(const HttpClient&) = delete;
+  HttpClient(HttpClient&&) = delete;
+  HttpClient& operator=(HttpClient&&) = delete;
+
+  /// Sends a request. `on_reply` gets the answer, or status 0 if none came within the request's
+  /// timeout or the connection failed.
+  void send(const HttpRequest& request, OnReply on_reply);
 
  private:
   struct Call;
-  static void on_done(evhttp_request* req, void* arg);
+
+  static void on_done(evhttp_request* request, void* call);
+  static void on_free_failed(evutil_socket_t socket, short events, void* client);
+  EvhttpConnectionPtr take_connection();
+  void free_soon(EvhttpConnectionPtr connection);
+
   event_base* base_;
-  Address addr_;
-  std::vector<evhttp_connection*> idle_;
-  std::set<Call*> open_;  // requests without an answer yet
+  Address address_;
+  std::vector<EvhttpConnectionPtr> idle_;
+  std::vector<EvhttpConnectionPtr> failed_;  // freed by free_failed_
+  EventPtr free_failed_;
+  std::list<Call> open_;  // requests without an answer yet
 };
 
-timeval to_timeval(Ms ms);
-// The body of a request, or of the answer to one.
-std::string take_body(evhttp_request* req);
-
 }  // namespace eiderreel::net
--- a/src/net/http_reply.cc
+++ b/src/net/http_reply.cc
@@ -1,78 +1,75 @@
+// The answer to a request that an HTTP server of ours received.
 #include "net/http_reply.h"
 
-#include <event2/buffer.h>
-#include <event2/http.h>
 #include <event2/http_struct.h>
-#include <event2/keyvalq_struct.h>
 
 #include "constants.h"
+#include "runtime/http_status.h"
 
 namespace eiderreel::net {
+namespace {
 
 namespace k = constants;
 
-namespace {
-
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
-    case 200:
+    case http_status::kOk:
       return "OK";
-    case 201:
+    case http_status::kCreated:
       return "Created";
-    case 400:
+    case http_status::kBadRequest:
       return "Bad Request";
-    case 404:
+    case http_status::kNotFound:
       return "Not Found";
-    case 409:
-      return "Conflict";
-    case 405:
+    case http_status::kMethodNotAllowed:
       return "Method Not Allowed";
-    case 413:
+    case http_status::kConflict:
+      return "Conflict";
+    case http_status::kContentTooLarge:
       return "Content Too Large";
-    case 421:
+    case http_status::kMisdirectedRequest:
       return "Misdirected Request";
-    case 422:
+    case http_status::kUnprocessable:
       return "Unprocessable Entity";
-    case 503:
+    case http_status::kServiceUnavailable:
       return "Service Unavailable";
     default:
       return "Status";
   }
 }
 
+// Everything is JSON except /metrics, which is in Prometheus' text format.
+const char* content_type(const std::string& body) {
+  const bool is_json = body.empty() || body.front() == '{';
+  return is_json ? "application/json" : "text/plain; version=0.0.4";
+}
+
 }  // namespace
 
-PendingReply::PendingReply(evhttp_request* r) : req_(r) {
-  evhttp_request_own(req_);
-  evhttp_connection_set_closecb(evhttp_request_get_connection(req_), &on_close, this);
+PendingReply::PendingReply(evhttp_request* request) : request_(request) {
+  evhttp_request_own(request);
+  evhttp_connection_set_closecb(evhttp_request_get_connection(request), &on_close, this);
 }
 
-PendingReply::~PendingReply() {
-  if (!req_) return;
-  // Nobody answered. A request is never left hanging.
-  if (!finished_) send(503, "");
-  if (req_) evhttp_request_free(req_);
-}
+PendingReply::~PendingReply() { send(http_status::kServiceUnavailable, ""); }
 
-void PendingReply::on_close(evhttp_connection*, void* arg) {
-  static_cast<PendingReply*>(arg)->finished_ = true;
+void PendingReply::on_close(evhttp_connection* /*connection*/, void* reply) {
+  static_cast<PendingReply*>(reply)->connection_closed_ = true;
 }
 
 void PendingReply::send(int status, const std::string& body) {
-  if (!req_ || finished_) return;
-  evhttp_request* r = req_;
-  req_ = nullptr;
-  evhttp_connection_set_closecb(evhttp_request_get_connection(r), nullptr, nullptr);
-  evkeyvalq* headers = evhttp_request_get_output_headers(r);
-  evhttp_add_header(
-      headers, "Content-Type",
-      !body.empty() && body[0] != '{' ? "text/plain; version=0.0.4" : "application/json");
-  if (status == 503 || status == 429)
+  if (!request_ || connection_closed_) return;
+  evhttp_request* request = request_.get();
+  evhttp_connection_set_closecb(evhttp_request_get_connection(request), nullptr, nullptr);
+  evkeyvalq* headers = evhttp_request_get_output_headers(request);
+  evhttp_add_header(headers, "Content-Type", content_type(body));
+  if (status == http_status::kServiceUnavailable || status == http_status::kTooManyRequests)
     evhttp_add_header(headers, "Retry-After", std::to_string(k::kRetryAfterS).c_str());
-  evbuffer* out = evhttp_request_get_output_buffer(r);
-  evbuffer_add(out, body.data(), body.size());
-  r->flags &= ~EVHTTP_USER_OWNED;  // from here on libevent frees it, also when the link dies
-  evhttp_send_reply(r, status, reason(status), nullptr);
+  evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
+  // From here on libevent frees the request, also if the connection fails.
+  request_.release();
+  request->flags &= ~EVHTTP_USER_OWNED;
+  evhttp_send_reply(request, status, reason_phrase(status), nullptr);
 }
 
 }  // namespace eiderreel::net
--- a/src/net/http_reply.h
+++ b/src/net/http_reply.h
@@ -1,27 +1,32 @@
-// The answer to an HTTP request that this process was sent: it may come later.
+// The answer to a request that an HTTP server of ours received.
 #pragma once
 #include <string>
 
-struct evhttp_connection;
-struct evhttp_request;
+#include "net/libevent_handles.h"
 
 namespace eiderreel::net {
 
-// A request whose answer may come later, or never be wanted: its connection may close first.
+/// A received request that waits for its answer. The answer may be sent after the request's handler
+/// has returned. If the user's connection closes first, the answer is dropped. A request that is
+/// destroyed without an answer is answered with 503.
 class PendingReply {
  public:
-  explicit PendingReply(evhttp_request* r);
+  /// Takes the request over from libevent.
+  explicit PendingReply(evhttp_request* request);
   ~PendingReply();
   PendingReply(const PendingReply&) = delete;
   PendingReply& operator=(const PendingReply&) = delete;
+  PendingReply(PendingReply&&) = delete;
+  PendingReply& operator=(PendingReply&&) = delete;
 
+  /// Sends the answer. Only the first call has an effect.
   void send(int status, const std::string& body);
 
  private:
-  static void on_close(evhttp_connection*, void* arg);
+  static void on_close(evhttp_connection* connection, void* reply);
 
-  evhttp_request* req_;
-  bool finished_ = false;
+  EvhttpRequestPtr request_;        // null once it is answered
+  bool connection_closed_ = false;  // nobody waits for the answer any more
 };
 
 }  // namespace eiderreel::net
--- /dev/null
+++ b/src/net/http_server.cc
@@ -0,0 +1,73 @@
+// The HTTP server that users, workers and operators call.
+#include "net/http_server.h"
+
+#include <memory>
+#include <utility>
+
+#include "constants.h"
+#include "net/address.h"
+#include "net/http_reply.h"
+
+namespace eiderreel::net {
+namespace {
+
+namespace k = constants;
+
+// Methods that nothing serves are let through too, so that they are answered with 405 here.
+constexpr ev_uint16_t kAllowedMethods = EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_PUT |
+                                        EVHTTP_REQ_DELETE | EVHTTP_REQ_HEAD | EVHTTP_REQ_PATCH |
+                                        EVHTTP_REQ_OPTIONS;
+
+std::string method_of(const evhttp_request* request) {
+  switch (evhttp_request_get_command(request)) {
+    case EVHTTP_REQ_GET:
+      return "GET";
+    case EVHTTP_REQ_POST:
+      return "POST";
+    default:
+      return "OTHER";
+  }
+}
+
+std::string path_of(const evhttp_request* request) {
+  const char* uri = evhttp_request_get_uri(request);
+  const std::string text = uri ? uri : "";
+  return text.substr(0, text.find('?'));
+}
+
+}  // namespace
+
+HttpServer::HttpServer(event_base* base, OnRequest on_request)
+    : base_(base), on_request_(std::move(on_request)), server_(evhttp_new(base)) {
+  evhttp_set_max_body_size(server_.get(), static_cast<ev_ssize_t>(k::kBodyReadMax));
+  evhttp_set_max_headers_size(server_.get(), k::kHeadersMax);
+  evhttp_set_timeout(server_.get(), k::kIdleConnectionS);
+  evhttp_set_allowed_methods(server_.get(), kAllowedMethods);
+  evhttp_set_gencb(server_.get(), &HttpServer::on_http, this);
+}
+
+tl::expected<void, ListenError> HttpServer::listen(const Settings& settings) {
+  // When all controllers were down, every worker and user connects to the first one that is back.
+  // The backlog therefore holds as many connections as may be open, not libevent's usual 128.
+  const int backlog = settings.max_sockets;
+  sockaddr_in address = to_sockaddr(settings.api_addr);
+  ListenerPtr listener(
+      evconnlistener_new_bind(base_, nullptr, nullptr, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
+                              backlog, reinterpret_cast<sockaddr*>(&address), sizeof address));
+  if (!listener || !evhttp_bind_listener(server_.get(), listener.get()))
+    return tl::make_unexpected(ListenError{"api_addr", settings.api_addr});
+  listener.release();  // the server owns it now
+  return {};
+}
+
+void HttpServer::on_http(evhttp_request* request, void* server) {
+  const std::string method = method_of(request);
+  const std::string path = path_of(request);
+  const std::string body = take_body(request);
+  const auto pending = std::make_shared<PendingReply>(request);
+  static_cast<HttpServer*>(server)->on_request_(
+      method, path, body,
+      [pending](int status, const std::string& text) { pending->send(status, text); });
+}
+
+}  // namespace eiderreel::net
--- a/src/net/peer_links.cc
+++ b/src/net/peer_links.cc
@@ -1,135 +1,139 @@
+// Connections between controllers.
 #include "net/peer_links.h"
 
-#include <arpa/inet.h>
-#include <event2/buffer.h>
-#include <event2/bufferevent.h>
-#include <event2/listener.h>
-
 #include <array>
-#include <cstring>
+#include <cstdint>
+#include <utility>
 
-#include "net/event_loop.h"
+#include "constants.h"
+#include "net/address.h"
 
 namespace eiderreel::net {
+namespace {
 
 namespace k = constants;
 
-namespace {
+constexpr std::size_t kBitsPerByte = 8;
+using FrameHeader = std::array<unsigned char, 4>;
 
-constexpr std::size_t kHead = 4;  // bytes of a frame's length
+FrameHeader encode_length(std::uint32_t length) {
+  FrameHeader header{};
+  for (std::size_t i = 0; i < header.size(); ++i)
+    header.at(i) = static_cast<unsigned char>(length >> (kBitsPerByte * i));
+  return header;
+}
+
+std::uint32_t decode_length(const FrameHeader& header) {
+  std::uint32_t length = 0;
+  for (std::size_t i = 0; i < header.size(); ++i)
+    length |= static_cast<std::uint32_t>(header.at(i)) << (kBitsPerByte * i);
+  return length;
+}
 
 }  // namespace
 
-PeerLinks::PeerLinks(event_base* base, const Settings& settings,
-                     std::function<void(const std::string&)> on_frame)
+PeerLinks::PeerLinks(event_base* base, const Settings& settings, OnFrame on_frame)
     : base_(base), settings_(settings), on_frame_(std::move(on_frame)) {}
 
-PeerLinks::~PeerLinks() {
-  if (listener_) evconnlistener_free(listener_);
-  for (auto* b : heard_) bufferevent_free(b);
-  for (auto& [name, l] : links_) {
-    if (l.bev) bufferevent_free(l.bev);
-    if (l.redial) event_free(l.redial);
+tl::expected<void, ListenError> PeerLinks::listen() {
+  sockaddr_in address = to_sockaddr(settings_.peer_addr);
+  listener_.reset(evconnlistener_new_bind(base_, &PeerLinks::on_accept, this,
+                                          LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1,
+                                          reinterpret_cast<sockaddr*>(&address), sizeof address));
+  if (!listener_) return tl::make_unexpected(ListenError{"mesh_addr", settings_.peer_addr});
+  for (const Peer& peer : settings_.peers) {
+    OutboundLink& link = outbound_[peer.name];
+    link.owner = this;
+    link.address = peer.peer_addr;
+    link.redial.reset(evtimer_new(base_, &PeerLinks::on_redial, &link));
+    dial(link);
   }
+  return {};
 }
 
-bool PeerLinks::listen() {
-  sockaddr_in sin = to_sockaddr(settings_.peer_addr);
-  listener_ = evconnlistener_new_bind(base_, &PeerLinks::on_accept, this,
-                                      LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1,
-                                      reinterpret_cast<sockaddr*>(&sin), sizeof sin);
-  if (!listener_) return false;
-  for (const auto& p : settings_.peers) {
-    Link& l = links_[p.name];
-    l.peer_rpc = this;
-    l.addr = p.peer_addr;
-    l.redial = evtimer_new(
-        base_,
-        [](evutil_socket_t, short, void* arg) {
-          auto* link = static_cast<Link*>(arg);
-          link->peer_rpc->dial(*link);
-        },
-        &l);
-    dial(l);
-  }
-  return true;
+void PeerLinks::on_redial(evutil_socket_t /*socket*/, short /*events*/, void* link) {
+  auto& outbound = *static_cast<OutboundLink*>(link);
+  outbound.owner->dial(outbound);
 }
 
-void PeerLinks::dial(Link& l) {
-  l.bev = bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE);
-  l.connected = false;
-  bufferevent_setcb(l.bev, nullptr, nullptr, &PeerLinks::on_link_event, &l);
-  // A link that hangs is given up, and so is one that cannot be opened.
-  const timeval tv{k::kPeerStuckMs / 1000, 0};
-  bufferevent_set_timeouts(l.bev, nullptr, &tv);
-  bufferevent_enable(l.bev, EV_WRITE | EV_READ);
-  sockaddr_in sin = to_sockaddr(l.addr);
-  if (bufferevent_socket_connect(l.bev, reinterpret_cast<sockaddr*>(&sin), sizeof sin) != 0)
-    fail(l);
+void PeerLinks::dial(OutboundLink& link) {
+  link.connection.reset(bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE));
+  link.connected = false;
+  bufferevent* connection = link.connection.get();
+  bufferevent_setcb(connection, nullptr, nullptr, &PeerLinks::on_outbound_event, &link);
+  // Gives up a link that cannot be opened as well as one whose bytes are not taken.
+  const timeval timeout = to_timeval(k::kPeerStuckMs);
+  bufferevent_set_timeouts(connection, nullptr, &timeout);
+  bufferevent_enable(connection, EV_WRITE | EV_READ);
+  sockaddr_in address = to_sockaddr(link.address);
+  const int failed =
+      bufferevent_socket_connect(connection, reinterpret_cast<sockaddr*>(&address), sizeof address);
+  if (failed != 0) drop_and_redial(link);
 }
 
-void PeerLinks::fail(Link& l) {
-  if (l.bev) bufferevent_free(l.bev);
-  l.bev = nullptr;
-  l.connected = false;
-  const timeval tv{0, k::kPeerRedialMs * 1000};
-  event_add(l.redial, &tv);
+void PeerLinks::drop_and_redial(OutboundLink& link) {
+  link.connection.reset();
+  link.connected = false;
+  const timeval delay = to_timeval(k::kPeerRedialMs);
+  event_add(link.redial.get(), &delay);
 }
 
-void PeerLinks::on_link_event(bufferevent*, short what, void* arg) {
-  auto* l = static_cast<Link*>(arg);
-  if (what & BEV_EVENT_CONNECTED)
-    l->connected = true;
+void PeerLinks::on_outbound_event(bufferevent* /*connection*/, short events, void* link) {
+  auto& outbound = *static_cast<OutboundLink*>(link);
+  if ((events & BEV_EVENT_CONNECTED) != 0)
+    outbound.connected = true;
   else
-    l->peer_rpc->fail(*l);
+    outbound.owner->drop_and_redial(outbound);
 }
 
 void PeerLinks::send(const std::string& node, const std::string& bytes) {
-  auto it = links_.find(node);
-  if (it == links_.end() || !it->second.bev || !it->second.connected) return;
-  Link& l = it->second;
-  if (evbuffer_get_length(bufferevent_get_output(l.bev)) > k::kPeerBacklogMaxBytes) {
-    fail(l);
+  const auto found = outbound_.find(node);
+  if (found == outbound_.end()) return;
+  OutboundLink& link = found->second;
+  if (!link.connection || !link.connected) return;
+  bufferevent* connection = link.connection.get();
+  if (evbuffer_get_length(bufferevent_get_output(connection)) > k::kPeerBacklogMaxBytes) {
+    drop_and_redial(link);
     return;
   }
-  const auto n = static_cast<std::uint32_t>(bytes.size());
-  std::array<unsigned char, kHead> head{};
-  for (std::size_t i = 0; i < kHead; ++i) head[i] = static_cast<unsigned char>(n >> (8 * i));
-  bufferevent_write(l.bev, head.data(), head.size());
-  bufferevent_write(l.bev, bytes.data(), bytes.size());
+  const FrameHeader header = encode_length(static_cast<std::uint32_t>(bytes.size()));
+  bufferevent_write(connection, header.data(), header.size());
+  bufferevent_write(connection, bytes.data(), bytes.size());
 }
 
-void PeerLinks::on_accept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
-  auto* self = static_cast<PeerLinks*>(arg);
-  bufferevent* bev = bufferevent_socket_new(self->base_, fd, BEV_OPT_CLOSE_ON_FREE);
-  self->heard_.insert(bev);
-  bufferevent_setcb(bev, &PeerLinks::on_read, nullptr, &PeerLinks::on_heard_end, self);
-  const timeval tv{k::kPeerIdleTimeoutMs / 1000, 0};
-  bufferevent_set_timeouts(bev, &tv, nullptr);
-  bufferevent_enable(bev, EV_READ);
+void PeerLinks::on_accept(evconnlistener* /*listener*/, evutil_socket_t socket, sockaddr* /*peer*/,
+                          int /*peer_size*/, void* links) {
+  auto* self = static_cast<PeerLinks*>(links);
+  BuffereventPtr owned(bufferevent_socket_new(self->base_, socket, BEV_OPT_CLOSE_ON_FREE));
+  bufferevent* connection = owned.get();
+  self->inbound_.emplace(connection, std::move(owned));
+  bufferevent_setcb(connection, &PeerLinks::on_inbound_data, nullptr, &PeerLinks::on_inbound_event,
+                    self);
+  const timeval timeout = to_timeval(k::kPeerIdleTimeoutMs);
+  bufferevent_set_timeouts(connection, &timeout, nullptr);
+  bufferevent_enable(connection, EV_READ);
 }
 
-void PeerLinks::on_heard_end(bufferevent* bev, short, void* arg) {
-  static_cast<PeerLinks*>(arg)->heard_.erase(bev);
-  bufferevent_free(bev);
+// The end of the link, an error, or silence for too long: in each case the peer dials again.
+void PeerLinks::on_inbound_event(bufferevent* connection, short /*events*/, void* links) {
+  static_cast<PeerLinks*>(links)->inbound_.erase(connection);
 }
 
-void PeerLinks::on_read(bufferevent* bev, void* arg) {
-  auto* self = static_cast<PeerLinks*>(arg);
-  evbuffer* in = bufferevent_get_input(bev);
-  for (;;) {
-    std::array<unsigned char, kHead> head{};
-    if (evbuffer_copyout(in, head.data(), kHead) < static_cast<ev_ssize_t>(kHead)) return;
-    std::uint32_t n = 0;
-    for (std::size_t i = 0; i < kHead; ++i) n |= static_cast<std::uint32_t>(head[i]) << (8 * i);
-    if (n > k::kPeerFrameMaxBytes) {  // not one of ours
-      on_heard_end(bev, 0, arg);
+void PeerLinks::on_inbound_data(bufferevent* connection, void* links) {
+  auto* self = static_cast<PeerLinks*>(links);
+  evbuffer* input = bufferevent_get_input(connection);
+  FrameHeader header{};
+  while (evbuffer_copyout(input, header.data(), header.size()) ==
+         static_cast<ev_ssize_t>(header.size())) {
+    const std::uint32_t length = decode_length(header);
+    if (length > k::kPeerFrameMaxBytes) {  // whoever sends this is no controller
+      self->inbound_.erase(connection);
       return;
     }
-    if (evbuffer_get_length(in) < kHead + n) return;
-    evbuffer_drain(in, kHead);
-    std::string bytes(n, '\0');
-    evbuffer_remove(in, bytes.data(), n);
+    if (evbuffer_get_length(input) < header.size() + length) return;
+    evbuffer_drain(input, header.size());
+    std::string bytes(length, '\0');
+    evbuffer_remove(input, bytes.data(), length);
     self->on_frame_(bytes);
   }
 }
--- a/src/net/peer_links.h
+++ b/src/net/peer_links.h
@@ -1,52 +1,58 @@
-// Links between nodes: each node dials every peer and sends there; what it hears, it hears on
-// the links that others dialled. A frame is a four-byte length and that many bytes.
+// Connections between controllers.
 #pragma once
-#include <event2/event.h>
-
 #include <functional>
 #include <map>
-#include <memory>
-#include <set>
 #include <string>
+#include <tl/expected.hpp>
 
 #include "config/settings.h"
-
-struct evconnlistener;
-struct bufferevent;
+#include "net/libevent_handles.h"
+#include "net/listen_error.h"
 
 namespace eiderreel::net {
 
+/// Sends frames of bytes between controllers over TCP. Each controller connects to every peer and
+/// sends over that outbound link only; it receives over the inbound links that its peers opened.
+/// On the wire a frame is its length, four bytes with the lowest first, followed by its bytes.
+///
+/// Delivery is best effort and in order while a link lasts; a lost frame is not reported.
 class PeerLinks {
  public:
-  PeerLinks(event_base* base, const Settings& settings,
-            std::function<void(const std::string&)> on_frame);
-  ~PeerLinks();
-  PeerLinks(const PeerLinks&) = delete;
-  PeerLinks& operator=(const PeerLinks&) = delete;
-  bool listen();
+  /// Called with each frame that arrives.
+  using OnFrame = std::function<void(const std::string& bytes)>;
+
+  /// `base` and `settings` must outlive the links.
+  PeerLinks(event_base* base, const Settings& settings, OnFrame on_frame);
+
+  /// Starts to accept inbound links on `settings.peer_addr` and to connect to all peers.
+  tl::expected<void, ListenError> listen();
+  /// Sends a frame to a peer. It is dropped while there is no link to the peer.
   void send(const std::string& node, const std::string& bytes);
 
  private:
-  struct Link {  // one we dialled
-    PeerLinks* peer_rpc = nullptr;
-    std::string addr;
-    bufferevent* bev = nullptr;
+  struct OutboundLink {
+    PeerLinks* owner = nullptr;
+    std::string address;  // IP:PORT
+    BuffereventPtr connection;
     bool connected = false;
-    event* redial = nullptr;
+    EventPtr redial;
   };
-  void dial(Link& l);
-  void fail(Link& l);
-  static void on_accept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg);
-  static void on_read(bufferevent* bev, void* arg);
-  static void on_heard_end(bufferevent* bev, short what, void* arg);
-  static void on_link_event(bufferevent* bev, short what, void* arg);
+
+  void dial(OutboundLink& link);
+  void drop_and_redial(OutboundLink& link);
+  static void on_redial(evutil_socket_t socket, short events, void* link);
+  static void on_outbound_event(bufferevent* connection, short events, void* link);
+  static void on_accept(evconnlistener* listener, evutil_socket_t socket, sockaddr* peer,
+                        int peer_size, void* links);
+  static void on_inbound_data(bufferevent* connection, void* links);
+  static void on_inbound_event(bufferevent* connection, short events, void* links);
 
   event_base* base_;
   const Settings& settings_;
-  std::function<void(const std::string&)> on_frame_;
-  evconnlistener* listener_ = nullptr;
-  std::map<std::string, Link> links_;
-  std::set<bufferevent*> heard_;
+  OnFrame on_frame_;
+  std::map<std::string, OutboundLink> outbound_;  // by name of the peer
+  std::map<bufferevent*, BuffereventPtr> inbound_;
+  ListenerPtr listener_;
 };
 
 }  // namespace eiderreel::net
--- a/tests/answers_test.cc
+++ b/tests/answers_test.cc
@@ -205,7 +205,8 @@
     const std::string path = file_with(c.text);
     auto r = load_settings(path);
     ASSERT_EQ(r.problems.size(), 1u) << c.field;
-    EXPECT_EQ(r.problems[0].find(path + ": " + c.field + ": "), 0u) << r.problems[0];
+    const std::string line = to_string(r.problems[0]);
+    EXPECT_EQ(line.find(path + ": " + c.field + ": "), 0u) << line;
   }
 }
 
--- a/tests/processes/process_cluster.cc
+++ b/tests/processes/process_cluster.cc
@@ -34,8 +34,7 @@
   for (int node = 0; node < kControllers; ++node) {
     addresses_.push_back(
         {fmt::format("127.0.0.1:{}", free_port()), fmt::format("127.0.0.1:{}", free_port())});
-    net::Address api;
-    net::parse_address(addresses_.back().api, api);
+    const net::Address api = net::parse_address(addresses_.back().api).value();
     clients_.push_back(std::make_unique<net::HttpClient>(base_.get(), api));
   }
   options_.processes = [this](int node, HttpRequest request, std::function<void(HttpReply)> done) {
--- a/tests/processes/process_cluster.h
+++ b/tests/processes/process_cluster.h
@@ -53,7 +53,7 @@
 
   Options options_;
   std::string directory_;
-  net::Base base_;
+  net::EventBasePtr base_;
   std::vector<ControllerAddress> addresses_;
   std::vector<std::unique_ptr<net::HttpClient>> clients_;
   std::map<std::string, std::unique_ptr<StandInServer>> workers_;  // by machine
--- a/tests/upgrade/settings_test.cc
+++ b/tests/upgrade/settings_test.cc
@@ -16,8 +16,14 @@
  protected:
   std::vector<std::string> load(const std::string& text) {
     std::ofstream(file_) << text;
-    settings_ = {};
-    return load_upgrade_settings(file_, settings_);
+    return read(file_);
+  }
+  std::vector<std::string> read(const std::string& file) {
+    const UpgradeSettingsResult result = load_upgrade_settings(file, {});
+    settings_ = result.settings;
+    std::vector<std::string> lines;
+    for (const ConfigProblem& problem : result.problems) lines.push_back(to_string(problem));
+    return lines;
   }
   void TearDown() override { std::remove(file_.c_str()); }
 
@@ -47,12 +53,10 @@
 }
 
 TEST_F(UpgradeFile, TheOneUnderDeployIsGoodAndTakesNoStepsByItself) {
-  UpgradeSettings settings;
-  EXPECT_EQ(
-      load_upgrade_settings(std::string(EIDERREEL_SOURCE_DIR) + "/deploy/upgrade.toml", settings),
-      std::vector<std::string>{});
-  EXPECT_TRUE(settings.enabled);
-  EXPECT_FALSE(settings.automatic);
+  EXPECT_EQ(read(std::string(EIDERREEL_SOURCE_DIR) + "/deploy/upgrade.toml"),
+            std::vector<std::string>{});
+  EXPECT_TRUE(settings_.enabled);
+  EXPECT_FALSE(settings_.automatic);
 }
 
 TEST_F(UpgradeFile, EveryProblemIsNamedByFileAndField) {
@@ -88,9 +92,8 @@
 }
 
 TEST_F(UpgradeFile, AFileThatIsNotThereIsAProblem) {
-  UpgradeSettings settings;
-  EXPECT_EQ(load_upgrade_settings(testing::TempDir() + "none.toml", settings).size(), 1u);
-  EXPECT_FALSE(settings.enabled);
+  EXPECT_EQ(read(testing::TempDir() + "none.toml").size(), 1u);
+  EXPECT_FALSE(settings_.enabled);
 }
 
 }  // namespace
