--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -8,11 +8,6 @@
 
 namespace k = constants;
 
-namespace {
-
-
-}  // namespace
-
 JobApi::JobApi(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
                PartitionLeader& partition_leader)
     : runtime_(runtime),
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -28,9 +28,9 @@
 
 template <class T>
 CloudResult<T> parsed(const CloudResult<std::string>& body,
-                      std::optional<T> (*parse)(const std::string&)) {
+                      codec::Decoded<T> (*parse)(const std::string&)) {
   if (!body) return tl::unexpected(body.error());
-  std::optional<T> value = parse(*body);
+  codec::Decoded<T> value = parse(*body);
   if (!value) return tl::unexpected(CloudError::unreadable);
   return *std::move(value);
 }
--- a/src/controller/peer_dispatcher.cc
+++ b/src/controller/peer_dispatcher.cc
@@ -6,7 +6,19 @@
 #include <utility>
 #include <variant>
 
+#include "leadership/job_query.h"
+#include "runtime/http_status.h"
+
 namespace eiderreel {
+namespace {
+
+// The message between peers does not tell why there is no answer.
+peer_rpc::JobQueryReply job_query_reply(std::uint64_t number, const JobQueryResult& result) {
+  if (!result) return {number, http_status::kNoAnswer, ""};
+  return {number, result->status, result->body};
+}
+
+}  // namespace
 
 void PeerDispatcher::send(const std::string& node, const peer_rpc::Body& body) {
   runtime_.send(node, peer_rpc::encode({settings_.node, body}));
@@ -23,9 +35,8 @@
   const std::string& from;
 
   void operator()(const peer_rpc::JobQuery& query) const {
-    partition_leader.query_job(query, [node = &dispatcher, from = from, number = query.number](
-                                          int status, std::string body) {
-      node->send(from, peer_rpc::JobQueryReply{number, status, std::move(body)});
+    partition_leader.query_job(query, [node = &dispatcher, from = from, number = query.number](const JobQueryResult& result) {
+      node->send(from, job_query_reply(number, result));
     });
   }
   void operator()(const peer_rpc::JobQueryReply& reply) const {
