--- a/tests/answers_test.cc
+++ b/tests/answers_test.cc
@@ -4,7 +4,7 @@
 
 #include <fstream>
 
-#include "standin/world.h"
+#include "standin/simulated_cluster.h"
 
 using namespace eiderreel;
 using namespace eiderreel::standin;
--- a/tests/measure/upgrade_measures.cc
+++ b/tests/measure/upgrade_measures.cc
@@ -10,7 +10,7 @@
 #include <map>
 #include <numeric>
 
-#include "upgrade/upgrade_world.h"
+#include "upgrade/upgrade_cluster.h"
 
 using namespace eiderreel;
 using namespace eiderreel::standin;
--- a/tests/processes/process_cluster.h
+++ b/tests/processes/process_cluster.h
@@ -10,7 +10,7 @@
 #include "net/http_client.h"
 #include "processes/child_process.h"
 #include "processes/stand_in_servers.h"
-#include "upgrade/upgrade_world.h"
+#include "upgrade/upgrade_cluster.h"
 
 namespace eiderreel::standin {
 
--- a/tests/checker_test.cc
+++ b/tests/rule_checker_test.cc
@@ -1,5 +1,5 @@
 // The checker of the stand-in catches a planted violation of each rule, and nothing else.
-#include "standin/checker.h"
+#include "standin/rule_checker.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/standin/expectations.h
+++ b/tests/standin/expectations.h
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "standin/world.h"
+#include "standin/simulated_cluster.h"
 
 namespace eiderreel::standin {
 
--- a/tests/standin/checker.cc
+++ b/tests/standin/rule_checker.cc
@@ -1,4 +1,4 @@
-#include "standin/checker.h"
+#include "standin/rule_checker.h"
 
 #include <algorithm>
 
--- a/tests/standin/world.cc
+++ b/tests/standin/simulated_cluster.cc
@@ -1,4 +1,4 @@
-#include "standin/world.h"
+#include "standin/simulated_cluster.h"
 
 #include <rapidjson/document.h>
 #include <spdlog/sinks/base_sink.h>
--- a/tests/standin/world.h
+++ b/tests/standin/simulated_cluster.h
@@ -13,8 +13,8 @@
 #include <vector>
 
 #include "controller/controller.h"
-#include "standin/checker.h"
-#include "standin/state_service.h"
+#include "standin/rule_checker.h"
+#include "standin/simulated_state_store.h"
 #include "standin/version_checker.h"
 
 namespace eiderreel::standin {
--- a/tests/standin/world_users.cc
+++ b/tests/standin/simulated_cluster_users.cc
@@ -2,7 +2,7 @@
 #include <rapidjson/document.h>
 
 #include "standin/text.h"
-#include "standin/world.h"
+#include "standin/simulated_cluster.h"
 
 namespace eiderreel::standin {
 
--- a/tests/standin/state_service.cc
+++ b/tests/standin/simulated_state_store.cc
@@ -1,4 +1,4 @@
-#include "standin/state_service.h"
+#include "standin/simulated_state_store.h"
 
 #include <rapidjson/document.h>
 
--- a/tests/upgrade/conversion_test.cc
+++ b/tests/upgrade/conversion_test.cc
@@ -4,7 +4,7 @@
 
 #include "codec/progress_form.h"
 #include "leadership/progress_plan.h"
-#include "upgrade/upgrade_world.h"
+#include "upgrade/upgrade_cluster.h"
 
 using namespace eiderreel;
 using namespace eiderreel::standin;
--- a/tests/upgrade/random_upgrades_test.cc
+++ b/tests/upgrade/random_upgrades_test.cc
@@ -7,7 +7,7 @@
 #include <cstdlib>
 #include <random>
 
-#include "upgrade/upgrade_world.h"
+#include "upgrade/upgrade_cluster.h"
 
 using namespace eiderreel;
 using namespace eiderreel::standin;
--- a/tests/upgrade/rolling_upgrade_test.cc
+++ b/tests/upgrade/rolling_upgrade_test.cc
@@ -1,7 +1,7 @@
 // Steps of the cluster version while jobs run and controllers fail, in the simulated world. On
 // every day the version checker looks at each transaction that lands; see
 // standin/version_checker.h.
-#include "upgrade/upgrade_world.h"
+#include "upgrade/upgrade_cluster.h"
 
 using namespace eiderreel;
 using namespace eiderreel::standin;
