--- a/tests/answers_test.cc
+++ b/tests/answers_test.cc
@@ -11,35 +11,36 @@
 
 namespace {
 
-struct Answers : testing::Test {
-  World w{Options{}};
+struct HttpApi : testing::Test {
+  SimulatedCluster cluster{Options{}};
   int status = -1;
   std::string body;
   void ask(const std::string& method, const std::string& path, const std::string& text = "") {
     status = -1;
-    w.raw(1, method, path, text, [this](int s, std::string b) {
-      status = s;
-      body = b;
+    cluster.raw(1, method, path, text, [this](int code, std::string text) {
+      status = code;
+      body = text;
     });
-    w.run_until(w.now() + 1);
+    cluster.run_until(cluster.now() + 1);
   }
-  std::string spec(const JobSpec& s) { return codec::encode(s, "u"); }
-  void SetUp() override { w.run_until(5); }
+  static std::string submission(const JobSpec& job) { return codec::encode(job, "u"); }
+  void SetUp() override { cluster.run_until(5); }
 };
 
-TEST_F(Answers, OfEachKind) {
+TEST_F(HttpApi, RespondsWithTheDocumentedStatusCodes) {
   ask("GET", "/ready");
   EXPECT_EQ(status, 200);
   ask("POST", "/v1/jobs", "nonsense");
   EXPECT_EQ(status, 400);
   EXPECT_NE(body.find("\"error\""), std::string::npos);
-  ask("POST", "/v1/jobs", spec(w.job("run-1", "nobody", 1)));
+  ask("POST", "/v1/jobs", submission(cluster.job("run-1", "nobody", 1)));
   EXPECT_EQ(status, 422);
-  ask("POST", "/v1/jobs", spec(w.job("run-1", "red", 1, 9)));  // no machine has nine CPUs
+  ask("POST", "/v1/jobs",
+      submission(cluster.job("run-1", "red", 1, 9)));  // no machine has nine CPUs
   EXPECT_EQ(status, 422);
-  JobSpec service = w.job("run-1", "red", 7, 8);
+  JobSpec service = cluster.job("run-1", "red", 7, 8);
   service.kind = JobKind::service;  // 56 CPUs at once, above the limit of 48
-  ask("POST", "/v1/jobs", spec(service));
+  ask("POST", "/v1/jobs", submission(service));
   EXPECT_EQ(status, 422);
   ask("GET", "/v1/jobs/run-1");
   EXPECT_EQ(status, 404);
@@ -57,23 +58,23 @@
   EXPECT_EQ(status, 400);
 }
 
-TEST_F(Answers, ARepeatedSubmissionIsKnownAtAnyTime) {
-  const JobSpec s = w.job("run-1", "red", 2);
-  w.submit(s);
-  w.run_until(6);
-  ask("POST", "/v1/jobs", spec(s));
+TEST_F(HttpApi, ResubmissionIsIdempotent) {
+  const JobSpec spec = cluster.job("run-1", "red", 2);
+  cluster.submit(spec);
+  cluster.run_until(6);
+  ask("POST", "/v1/jobs", submission(spec));
   EXPECT_EQ(status, 200);
-  w.run_until(40);
-  ASSERT_EQ(w.phase("run-1"), "done");
-  ask("POST", "/v1/jobs", spec(s));
+  cluster.run_until(40);
+  ASSERT_EQ(cluster.phase("run-1"), "done");
+  ask("POST", "/v1/jobs", submission(spec));
   EXPECT_EQ(status, 200);
   EXPECT_NE(body.find("done"), std::string::npos);
-  EXPECT_TRUE(w.checker().broken().empty());
+  EXPECT_TRUE(cluster.checker().violations().empty());
 }
 
-TEST_F(Answers, MetricsAndStatusTellOfJobsPartitionsAndRequests) {
-  w.submit(w.job("run-1", "red", 2));
-  w.run_until(8);
+TEST_F(HttpApi, MetricsAndStatusShowJobsPartitionsAndRequests) {
+  cluster.submit(cluster.job("run-1", "red", 2));
+  cluster.run_until(8);
   ask("GET", "/metrics");
   EXPECT_EQ(status, 200);
   for (const char* line : {"eiderreel_ready 1\n", "eiderreel_open_jobs 1\n",
@@ -88,9 +89,9 @@
 }
 
 // Invariant 9: what cannot be taken is refused at once.
-TEST_F(Answers, DuringAnOutageSubmissionsAreRefusedAtOnce) {
-  w.state_outage(true);
-  ask("POST", "/v1/jobs", spec(w.job("run-1", "red", 1)));
+TEST_F(HttpApi, SubmissionsAreRejectedImmediatelyDuringAnOutage) {
+  cluster.state_outage(true);
+  ask("POST", "/v1/jobs", submission(cluster.job("run-1", "red", 1)));
   EXPECT_EQ(status, 503);
 }
 
@@ -142,52 +143,52 @@
 )";
 
 std::string with(const std::string& from, const std::string& to) {
-  std::string s = kGood;
-  s.replace(s.find(from), from.size(), to);
-  return s;
+  std::string text = kGood;
+  text.replace(text.find(from), from.size(), to);
+  return text;
 }
 
-TEST(SettingsFile, AGoodOneHasNoProblems) {
-  auto r = load_settings(file_with(kGood));
-  EXPECT_TRUE(r.problems.empty());
-  EXPECT_EQ(r.settings.partition_of_team("red"), 0);
-  EXPECT_EQ(r.settings.preferred_leader_of(1), "n1");
+TEST(SettingsFile, ValidFileHasNoProblems) {
+  auto loaded = load_settings(file_with(kGood));
+  EXPECT_TRUE(loaded.problems.empty());
+  EXPECT_EQ(loaded.settings.partition_of_team("red"), 0);
+  EXPECT_EQ(loaded.settings.preferred_leader_of(1), "n1");
 }
 
-TEST(SettingsFile, ALimitOfZeroIsNone) {
-  auto r = load_settings(file_with(with("cpus_max = 20.0", "cpus_max = 0")));
-  EXPECT_TRUE(r.problems.empty());
-  EXPECT_GT(r.settings.teams.at(0).quota_cpus, 1e9);
-  EXPECT_GT(r.settings.teams.at(0).quota_gpus, 1e9);
+TEST(SettingsFile, ZeroQuotaMeansUnlimited) {
+  auto loaded = load_settings(file_with(with("cpus_max = 20.0", "cpus_max = 0")));
+  EXPECT_TRUE(loaded.problems.empty());
+  EXPECT_GT(loaded.settings.teams.at(0).quota_cpus, 1e9);
+  EXPECT_GT(loaded.settings.teams.at(0).quota_gpus, 1e9);
 }
 
-TEST(SettingsFile, TheObjectiveOfTheFairSharesIsRead) {
+TEST(SettingsFile, FairShareObjectiveIsParsed) {
   EXPECT_EQ(load_settings(file_with(kGood)).settings.fair_share_start_s, 5);
   const std::string aim = "[[params.objectives]]\nkind = \"guarantee\"\nwithin_s = 15.0\n";
-  auto r = load_settings(file_with(with("[params.workers]", aim + "[params.workers]")));
-  EXPECT_TRUE(r.problems.empty());
-  EXPECT_EQ(r.settings.fair_share_start_s, 15);
+  auto loaded = load_settings(file_with(with("[params.workers]", aim + "[params.workers]")));
+  EXPECT_TRUE(loaded.problems.empty());
+  EXPECT_EQ(loaded.settings.fair_share_start_s, 15);
 }
 
 // What fits into the limits as they are and as they will be is all that is ever written.
-TEST(SettingsFile, TheLowerOfThePresentAndTheNextLimitsHolds) {
+TEST(SettingsFile, LowerOfCurrentAndNextLimitsApplies) {
   const std::string next = "[params.state.next]\nrps = 90.0\nvalue_kb = 2.0\ntxn_ops = 5\n";
-  auto r = load_settings(file_with(with("[params.cloud]", next + "[params.cloud]")));
-  EXPECT_TRUE(r.problems.empty());
-  EXPECT_EQ(r.settings.state_rps, 60);
-  EXPECT_EQ(r.settings.state_write_rps, 20);
-  EXPECT_EQ(r.settings.state_value_kb, 2);
-  EXPECT_EQ(r.settings.state_txn_ops, 5);
+  auto loaded = load_settings(file_with(with("[params.cloud]", next + "[params.cloud]")));
+  EXPECT_TRUE(loaded.problems.empty());
+  EXPECT_EQ(loaded.settings.state_rps, 60);
+  EXPECT_EQ(loaded.settings.state_write_rps, 20);
+  EXPECT_EQ(loaded.settings.state_value_kb, 2);
+  EXPECT_EQ(loaded.settings.state_txn_ops, 5);
 }
 
-TEST(SettingsFile, EveryProblemIsOneLineWithFileAndField) {
+TEST(SettingsFile, EachProblemIsOneLineWithFileAndField) {
   const std::string cloud = "[params.cloud]";
   const std::string next = "[params.state.next]\n";
 
   struct Case {
     std::string text, field;
   };
-  for (const Case& c :
+  for (const Case& invalid :
        {Case{with("node_name = \"n0\"", ""), "node_name"},
         Case{with("area = \"a\"", "area = 7"), "area"},
         Case{with("10.0.0.1:8080", "10.0.0.1"), "api_addr"},
@@ -202,14 +203,15 @@
         Case{with(cloud, next + "value_kb = \"two\"\n" + cloud), "params.state.next.value_kb"},
         Case{with("txn_ops = 16", "txn_ops = 16\nnext = 7"), "params.state.next"},
         Case{with("cloud = \"10.2.0.2:8443\"", ""), "outside.cloud"}}) {
-    const std::string path = file_with(c.text);
-    auto r = load_settings(path);
-    ASSERT_EQ(r.problems.size(), 1u) << c.field;
-    EXPECT_EQ(r.problems[0].find(path + ": " + c.field + ": "), 0u) << r.problems[0];
+    const std::string path = file_with(invalid.text);
+    auto loaded = load_settings(path);
+    ASSERT_EQ(loaded.problems.size(), 1u) << invalid.field;
+    EXPECT_EQ(loaded.problems[0].find(path + ": " + invalid.field + ": "), 0u)
+        << loaded.problems[0];
   }
 }
 
-TEST(SettingsFile, AllProblemsAreToldAtOnce) {
+TEST(SettingsFile, AllProblemsAreListedTogether) {
   EXPECT_GT(load_settings(file_with("x = 1")).problems.size(), 5u);
   EXPECT_EQ(load_settings(file_with("x = ")).problems.size(), 1u);
 }
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -42,7 +42,7 @@
   return out + "}";
 }
 
-TEST(JobCodec, TakesTheExampleAndKeepsItWhole) {
+TEST(JobCodec, RoundTripsTheExample) {
   auto p = codec::parse_job(job_text());
   ASSERT_TRUE(p.spec) << p.error;
   EXPECT_EQ(p.spec->id, "run-000412");
@@ -56,7 +56,7 @@
   EXPECT_EQ(codec::encode(*again.spec, "n"), codec::encode(*p.spec, "n"));
 }
 
-TEST(JobCodec, UnknownFieldsAndMissingNullsAreNoFault) {
+TEST(JobCodec, UnknownFieldsAndMissingNullsAreAccepted) {
   EXPECT_TRUE(codec::parse_job(job_text("berth")).spec);
   EXPECT_TRUE(codec::parse_job(job_text("due_s")).spec);
   EXPECT_TRUE(codec::parse_job(job_text("hulls", "null")).spec);
@@ -66,16 +66,16 @@
 struct BadField {
   const char *field, *value;
 };
-class BadJob : public testing::TestWithParam<BadField> {};
+class InvalidJob : public testing::TestWithParam<BadField> {};
 
-TEST_P(BadJob, IsRefusedByName) {
+TEST_P(InvalidJob, IsRejectedNamingTheField) {
   auto p = codec::parse_job(job_text(GetParam().field, GetParam().value));
   EXPECT_FALSE(p.spec);
   EXPECT_NE(p.error.find(GetParam().field), std::string::npos) << p.error;
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Fields, BadJob,
+    Fields, InvalidJob,
     testing::Values(BadField{"name_id", ""}, BadField{"name_id", "\"job-1\""},
                     BadField{"name_id", "\"run-1/../2\""}, BadField{"shape", "\"gang\""},
                     BadField{"shape", "7"}, BadField{"rank", "\"urgent\""}, BadField{"shards", "0"},
@@ -87,17 +87,17 @@
                     BadField{"berth", "5"}, BadField{"one_zone", "1"}, BadField{"driftwood", ""},
                     BadField{"guess_s", "null"}, BadField{"due_s", "-5"}));
 
-TEST(JobCodec, WhatIsNotAnObjectIsRefused) {
+TEST(JobCodec, NonObjectIsRejected) {
   for (const char* body : {"", "nonsense", "[]", "7", "null", "{\"name_id\":", "\"run-1\""})
     EXPECT_FALSE(codec::parse_job(body).spec) << body;
 }
 
 // Deep nesting must not exhaust the stack.
-TEST(JobCodec, DeepNestingIsRefused) {
+TEST(JobCodec, DeepNestingIsRejected) {
   EXPECT_FALSE(codec::parse_job(std::string(60000, '[')).spec);
 }
 
-TEST(DoneCodec, BitsOfAFullChunkFitTheValueLimitAndComeBack) {
+TEST(DoneCodec, FullChunkFitsTheValueLimitAndRoundTrips) {
   std::vector<std::uint32_t> tasks;
   for (std::uint32_t i = constants::kProgressChunkTasks; i < 2 * constants::kProgressChunkTasks;
        ++i)
@@ -111,7 +111,7 @@
   EXPECT_EQ(row->done->tasks, tasks);
 }
 
-TEST(PeerMessages, EveryMessageComesBack) {
+TEST(PeerMessages, EveryMessageRoundTrips) {
   PartitionLoad load;
   load.waiting_cpus = 3.5;
   load.idle_machines = 2;
@@ -134,7 +134,7 @@
 }
 
 // Seeded malformed input: flipped and cut bytes are refused or read, never a crash.
-TEST(Malformed, PeerMessagesAndJsonDoNoHarm) {
+TEST(MalformedInput, PeerMessagesAndJsonAreHarmless) {
   std::mt19937_64 random(7);
   PartitionLoad load;
   load.idle_machines = 3;
@@ -165,7 +165,7 @@
 }
 
 // A rolling restart mixes builds: these bytes were written before the messages had these names.
-TEST(PeerLinks, ReadsAndWritesWhatEarlierBuildsWrote) {
+TEST(PeerMessages, RoundTripBytesOfEarlierBuilds) {
   const peer_rpc::VoteRequest request{4, 3000, {{1, 77}}, 93};
   const peer_rpc::Vote vote{4, true, {{"run-1", JobPhase::cancelled, 95}}};
   const std::string request_bytes = from_hex(
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -35,7 +35,7 @@
 const char kOldFinal[] = R"({"n":"n0.b1.7","phase":"cancelled"})";
 const char kOldProgress[] = R"({"n":"n0.b1.7","chunk":1,"bits":"Fg"})";
 
-TEST(OldValues, AreReadAsTheyWereMeant) {
+TEST(EarlierBuildValues, AreDecoded) {
   const auto job = read("e/job/run-000412", kOldJob);
   ASSERT_TRUE(job.job);
   EXPECT_EQ(job.nonce, "n0.b1.7");
@@ -66,7 +66,7 @@
 }
 
 // The fields that the earlier build asks for are there, whatever else is.
-TEST(NewValues, HoldAllThatTheEarlierBuildReads) {
+TEST(CurrentValues, HoldAllThatTheEarlierBuildReads) {
   const std::string node = codec::encode(codec::NodeRecord{"b1", 9, 1, {}}, "n0.b1.7");
   EXPECT_EQ(node, R"({"n":"n0.b1.7","boot":"b1","grant":9,"features":1})");
   EXPECT_EQ(codec::encode_final(JobPhase::done, 1764668592000, "n0.b1.7"),
@@ -78,7 +78,7 @@
 }
 
 // The earlier build wants every field of a job at the top of its record. It finds none there.
-TEST(NewValues, AJobWithPrerequisitesIsNoJobForTheEarlierBuild) {
+TEST(CurrentValues, JobWithPrerequisitesIsHiddenFromTheEarlierBuild) {
   JobSpec job = *read("e/job/run-000412", kOldJob).job;
   job.prerequisites = {"run-000398", "run-000405"};
   const std::string value = codec::encode(job, "n0.b1.7");
@@ -186,7 +186,7 @@
            "6e2d32000000"}};
 }
 
-TEST(OldMessages, AreReadAndAllButTheStatusWrittenAsBefore) {
+TEST(EarlierBuildMessages, RoundTripExceptTheStatus) {
   for (const OldMessage& old : old_messages()) {
     const std::string bytes = from_hex(old.bytes);
     const auto message = peer_rpc::decode(bytes);
@@ -198,7 +198,7 @@
   }
 }
 
-TEST(OldMessages, AStatusWithoutFeaturesTellsOfAnEarlierBuild) {
+TEST(EarlierBuildMessages, StatusWithoutFeaturesIdentifiesAnEarlierBuild) {
   const auto message = peer_rpc::decode(from_hex(old_messages()[2].bytes));
   ASSERT_TRUE(message);
   const auto& status = std::get<peer_rpc::PeerStatus>(message->body);
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -30,7 +30,7 @@
   DependencyGraph graph;
 };
 
-TEST_F(DependencyGraphTest, AJobIsReadyWithTheLastOfItsPrerequisites) {
+TEST_F(DependencyGraphTest, JobIsReadyWhenItsLastPrerequisiteIsDone) {
   open(job(3), {id(1), id(2)});
   EXPECT_TRUE(graph.waits(id(3)));
   EXPECT_EQ(graph.waiting_count(), 1);
@@ -45,7 +45,7 @@
   EXPECT_EQ(graph.readiness(id(3))->at, 7000);
 }
 
-TEST_F(DependencyGraphTest, WhatHasEndedBeforeIsNotWaitedFor) {
+TEST_F(DependencyGraphTest, EndedPrerequisitesAreNotWaitedFor) {
   graph.open(job(2), 10, {}, {done(5, 500), done(90, 9000)});
   EXPECT_FALSE(graph.waits(id(2)));
   EXPECT_EQ(graph.readiness(id(2))->revision, 90u);
@@ -53,7 +53,7 @@
   EXPECT_TRUE(graph.cancelled(id(4)));
 }
 
-TEST_F(DependencyGraphTest, ACancelledEndCancelsAllThatNeedItThroughAnyNumberOfSteps) {
+TEST_F(DependencyGraphTest, CancellationPropagatesToAllTransitiveDependents) {
   open(job(2), {id(1)});
   open(job(3), {id(2)});
   open(job(4), {id(3), id(9)});
@@ -72,14 +72,14 @@
   EXPECT_TRUE(graph.all_cancelled().empty());
 }
 
-TEST_F(DependencyGraphTest, ADoneEndCancelsNothing) {
+TEST_F(DependencyGraphTest, CompletionCancelsNothing) {
   open(job(2), {id(1)});
   graph.end(id(1), done());
   EXPECT_TRUE(graph.take_effects().cancelled.empty());
   EXPECT_TRUE(graph.all_cancelled().empty());
 }
 
-TEST_F(DependencyGraphTest, UrgencyComesFromTheMostUrgentOfAllThatNeedAJob) {
+TEST_F(DependencyGraphTest, UrgencyIsInheritedFromTheMostUrgentDependent) {
   open(job(2, Priority::best_effort, 20), {id(1)});
   JobSpec last = job(3, Priority::high, 5);
   last.deadline_s = 100;
@@ -92,7 +92,7 @@
   EXPECT_FALSE(graph.urgency(id(3)));
 }
 
-TEST_F(DependencyGraphTest, CancelledAndFinishedDependentsAskForNothing) {
+TEST_F(DependencyGraphTest, EndedDependentsPassOnNoUrgency) {
   open(job(2, Priority::best_effort), {id(1)});
   open(job(3, Priority::high), {id(2)});
   open(job(4, Priority::production), {id(2), id(8)});
@@ -104,7 +104,7 @@
 }
 
 // A record that is gone without a word of its end leaves its dependents waiting.
-TEST_F(DependencyGraphTest, DependentsOfAJobWhoseEndIsNotKnownGoOnWaiting) {
+TEST_F(DependencyGraphTest, DependentsOfAJobWithUnknownOutcomeKeepWaiting) {
   open(job(2), {id(1)});
   open(job(3), {id(2)});
   graph.close(id(2));
@@ -116,7 +116,7 @@
   EXPECT_TRUE(graph.prerequisites().empty());
 }
 
-TEST_F(DependencyGraphTest, AChainOfThousandsIsCancelledAndRaisedWithoutRecursion) {
+TEST_F(DependencyGraphTest, ChainOfThousandsPropagatesWithoutRecursion) {
   constexpr int kLength = 20000;
   for (int n = 2; n <= kLength; ++n) open(job(n, Priority::standard), {id(n - 1)});
   EXPECT_LT(graph.steps(), 3u * kLength);  // nothing changes for those far before
@@ -125,7 +125,7 @@
   EXPECT_LT(graph.steps(), 8u * kLength);
 }
 
-TEST_F(DependencyGraphTest, ManyDependentsAndManyPrerequisitesCostTheirEdgesOnly) {
+TEST_F(DependencyGraphTest, CostIsLinearInTheNumberOfEdges) {
   constexpr int kMany = 5000;
   for (int n = 2; n <= kMany; ++n) open(job(n), {id(1)});
   Ids all;
--- a/tests/measure/upgrade_measures.cc
+++ b/tests/measure/upgrade_measures.cc
@@ -1,4 +1,4 @@
-// Measures cluster versions in the simulated world and prints tables; see docs/results.md. Not a
+// Measures cluster versions in the simulated cluster and prints tables; see docs/results.md. Not a
 // test, and not part of CI:
 //
 //   cmake --build target --target eiderreel_measures && target/tests/eiderreel_measures [TABLE ...]
@@ -32,40 +32,40 @@
 };
 
 // Submissions ten times a second to nodes in turn, each tried once.
-void submit_steadily(UpgradeWorld& w, double from, double to, Load& load) {
+void submit_steadily(UpgradeCluster& cluster, double from, double to, Load& load) {
   int n = 0;
-  for (double t = from; t < to; t += 0.1, ++n)
-    w.at(t, [&w, &load, n] {
+  for (double time_s = from; time_s < to; time_s += 0.1, ++n)
+    cluster.at(time_s, [&cluster, &load, n] {
       const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(n % 3)];
-      JobSpec job = w.job("run-" + std::to_string(n), team, 1, 0.2, 2);
-      const double asked = w.now();
-      w.raw(n % 3, "POST", "/v1/jobs", submission_text(job),
-            [&load, &w, asked](int status, std::string) {
-              const double took = w.now() - asked;
-              (status == 201 ? load.accepted : load.refused) += 1;
-              load.slowest_s = std::max(load.slowest_s, took);
-              load.sum_s += took;
-            });
+      JobSpec job = cluster.job("run-" + std::to_string(n), team, 1, 0.2, 2);
+      const double asked = cluster.now();
+      cluster.raw(n % 3, "POST", "/v1/jobs", submission_text(job),
+                  [&load, &cluster, asked](int status, std::string) {
+                    const double took = cluster.now() - asked;
+                    (status == 201 ? load.accepted : load.refused) += 1;
+                    load.slowest_s = std::max(load.slowest_s, took);
+                    load.sum_s += took;
+                  });
     });
 }
 
 Load day_with_steps(std::uint64_t seed, bool steps) {
-  Options o = upgrade_options(seed);
-  o.state_rps = 400;
-  UpgradeWorld w(o);
-  submit_arrays(w, 3, 60);
+  Options options = upgrade_options(seed);
+  options.state_rps = 400;
+  UpgradeCluster cluster(options);
+  submit_arrays(cluster, 3, 60);
   Load load;
-  submit_steadily(w, 20, 50, load);
+  submit_steadily(cluster, 20, 50, load);
   if (steps)
     for (int n = 0; n < 10; ++n)
-      w.ask(21 + 3.0 * n, n % 3, n % 4 < 2 ? Action::advance : Action::abort);
-  w.run_until(20);
-  const std::size_t before = w.checker().starts();
-  w.run_until(55);
-  load.starts = w.checker().starts() - before;
+      cluster.ask(21 + 3.0 * n, n % 3, n % 4 < 2 ? Action::advance : Action::abort);
+  cluster.run_until(20);
+  const std::size_t before = cluster.checker().starts();
+  cluster.run_until(55);
+  load.starts = cluster.checker().starts() - before;
   if (steps)
     std::printf("  seed %llu: %zu steps taken\n", static_cast<unsigned long long>(seed),
-                w.told_with(200));
+                cluster.replies_with(200));
   return load;
 }
 
@@ -93,30 +93,30 @@
 // --------------------------------------------------------------------------- time to convert
 
 double time_to_convert(int jobs, double write_rps, double share) {
-  Options o = upgrade_options(1);
-  o.machines = 40;
-  o.teams = {{"red", 100, 400, 0, 0}, {"blue", 100, 400, 0, 0}, {"gold", 100, 400, 0, 0}};
-  o.state_rps = 400;
-  o.state_write_rps = write_rps;
-  o.upgrades->conversion_share = share;
-  UpgradeWorld w(o);
+  Options options = upgrade_options(1);
+  options.machines = 40;
+  options.teams = {{"red", 100, 400, 0, 0}, {"blue", 100, 400, 0, 0}, {"gold", 100, 400, 0, 0}};
+  options.state_rps = 400;
+  options.state_write_rps = write_rps;
+  options.upgrades->conversion_share = share;
+  UpgradeCluster cluster(options);
   const double submitted = jobs / 5.0;
   for (int n = 0; n < jobs; ++n) {
     const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(n % 3)];
-    w.at(3 + 0.2 * n, [&w, n, team] {
+    cluster.at(3 + 0.2 * n, [&cluster, n, team] {
       const std::string id = "run-" + std::to_string(n);
-      w.submit(w.job(id, team, 4, 0.05, 9000));
-      w.set_run_s(id, {2, 3, 9000, 9000});
+      cluster.submit(cluster.job(id, team, 4, 0.05, 9000));
+      cluster.set_run_s(id, {2, 3, 9000, 9000});
     });
   }
   const double begun = submitted + 60;
-  w.advance_to(begun - 12, ClusterVersion::convert);
-  w.run_until(begun - 6);
-  double t = begun - 6;
-  while (w.cluster_version() < 3 && t < begun + 60) w.run_until(t += 0.1);
-  const double from = t;
-  while (w.progress_in_bits() > 0 && t < from + 3000) w.run_until(t += 0.25);
-  return t - from;
+  cluster.advance_to(begun - 12, ClusterVersion::convert);
+  cluster.run_until(begun - 6);
+  double time_s = begun - 6;
+  while (cluster.cluster_version() < 3 && time_s < begun + 60) cluster.run_until(time_s += 0.1);
+  const double from = time_s;
+  while (cluster.progress_in_bits() > 0 && time_s < from + 3000) cluster.run_until(time_s += 0.25);
+  return time_s - from;
 }
 
 void measure_conversion() {
@@ -143,36 +143,37 @@
   Ends ends = Ends::at_random;
 };
 
-std::vector<double> run_times(const ArrayCase& c) {
-  std::mt19937_64 random(c.tasks);
-  std::uniform_real_distribution<double> anywhere(0, c.spread_s);
+std::vector<double> run_times(const ArrayCase& array) {
+  std::mt19937_64 random(array.tasks);
+  std::uniform_real_distribution<double> anywhere(0, array.spread_s);
   std::vector<double> run_s;
-  for (std::uint32_t i = 0; i < c.tasks; ++i)
-    run_s.push_back(2 + (c.ends == Ends::in_order ? c.spread_s * i / c.tasks : anywhere(random)));
+  for (std::uint32_t i = 0; i < array.tasks; ++i)
+    run_s.push_back(
+        2 + (array.ends == Ends::in_order ? array.spread_s * i / array.tasks : anywhere(random)));
   return run_s;
 }
 
-ArrayCost cost_of_array(const ArrayCase& c, bool compact) {
-  Options o = upgrade_options(3);
-  o.value_kb = c.value_kb;
-  o.machines = 30;
-  o.teams = {{"red", 240, 240, 0, 0}, {"blue", 1, 48, 0, 0}, {"gold", 1, 48, 0, 0}};
-  UpgradeWorld w(o);
-  if (compact) w.advance_to(5, ClusterVersion::write_compact);
-  w.at(12, [&] {
-    w.submit(w.job("run-1", "red", c.tasks, c.tasks > 1000 ? 0.005 : 0.5, 10));
-    w.set_run_s("run-1", run_times(c));
+ArrayCost cost_of_array(const ArrayCase& array, bool compact) {
+  Options options = upgrade_options(3);
+  options.value_kb = array.value_kb;
+  options.machines = 30;
+  options.teams = {{"red", 240, 240, 0, 0}, {"blue", 1, 48, 0, 0}, {"gold", 1, 48, 0, 0}};
+  UpgradeCluster cluster(options);
+  if (compact) cluster.advance_to(5, ClusterVersion::write_compact);
+  cluster.at(12, [&] {
+    cluster.submit(cluster.job("run-1", "red", array.tasks, array.tasks > 1000 ? 0.005 : 0.5, 10));
+    cluster.set_run_s("run-1", run_times(array));
   });
   ArrayCost cost;
-  for (double t = 13; t < 500 && w.phase("run-1") != "done"; t += 0.5) {
-    w.run_until(t);
+  for (double time_s = 13; time_s < 500 && cluster.phase("run-1") != "done"; time_s += 0.5) {
+    cluster.run_until(time_s);
     std::size_t bytes = 0;
-    for (const auto& key : w.keys("d/")) bytes += w.stored(key)->size();
+    for (const auto& key : cluster.keys("d/")) bytes += cluster.stored(key)->size();
     cost.most_bytes = std::max(cost.most_bytes, bytes);
-    cost.most_keys = std::max(cost.most_keys, w.keys_under("d/"));
+    cost.most_keys = std::max(cost.most_keys, cluster.keys_under("d/"));
   }
-  cost.writes = w.versions().progress_written(compact);
-  if (w.phase("run-1") != "done") std::printf("(not done) ");
+  cost.writes = cluster.versions().progress_written(compact);
+  if (cluster.phase("run-1") != "done") std::printf("(not done) ");
   return cost;
 }
 
@@ -180,16 +181,18 @@
   std::printf(
       "\nprogress of one array, bits / compact: values written, most values kept, most bytes "
       "kept\n");
-  for (const ArrayCase& c : {ArrayCase{36}, ArrayCase{500}, ArrayCase{500, 8, 20, Ends::in_order},
-                             ArrayCase{20000}, ArrayCase{20000, 8, 20, Ends::in_order},
-                             ArrayCase{20000, 1}, ArrayCase{20000, 1, 20, Ends::in_order},
-                             ArrayCase{40000, 8, 20}, ArrayCase{40000, 8, 20, Ends::in_order}}) {
-    const ArrayCost bits = cost_of_array(c, false);
-    const ArrayCost compact = cost_of_array(c, true);
+  for (const ArrayCase& array :
+       {ArrayCase{36}, ArrayCase{500}, ArrayCase{500, 8, 20, Ends::in_order}, ArrayCase{20000},
+        ArrayCase{20000, 8, 20, Ends::in_order}, ArrayCase{20000, 1},
+        ArrayCase{20000, 1, 20, Ends::in_order}, ArrayCase{40000, 8, 20},
+        ArrayCase{40000, 8, 20, Ends::in_order}}) {
+    const ArrayCost bits = cost_of_array(array, false);
+    const ArrayCost compact = cost_of_array(array, true);
     std::printf(
         "%6u tasks, values to %.0f KiB, ends %-9s: %4zu / %-4zu  %2zu / %-2zu  %6zu / %zu\n",
-        c.tasks, c.value_kb, c.ends == Ends::in_order ? "in order" : "at random", bits.writes,
-        compact.writes, bits.most_keys, compact.most_keys, bits.most_bytes, compact.most_bytes);
+        array.tasks, array.value_kb, array.ends == Ends::in_order ? "in order" : "at random",
+        bits.writes, compact.writes, bits.most_keys, compact.most_keys, bits.most_bytes,
+        compact.most_bytes);
     std::fflush(stdout);
   }
 }
@@ -200,30 +203,30 @@
   std::printf(
       "\n4,000 machines, 200 s with 300 arrays, three controllers and the world in one process\n");
   for (const bool enabled : {false, true, false, true}) {
-    Options o = upgrade_options(1);
-    if (!enabled) o.upgrades.reset();
-    o.machines = 4000;
-    o.capacity = 0;
-    o.report_s = 5;
-    o.lease_s = 26;
-    o.cancel_s = 60;
-    o.state_rps = 400;
-    o.state_write_rps = 400;
-    o.teams = {
+    Options options = upgrade_options(1);
+    if (!enabled) options.upgrades.reset();
+    options.machines = 4000;
+    options.capacity = 0;
+    options.heartbeat_interval_s = 5;
+    options.lease_s = 26;
+    options.cancel_s = 60;
+    options.state_rps = 400;
+    options.state_write_rps = 400;
+    options.teams = {
         {"red", 8000, 20000, 0, 0}, {"blue", 8000, 20000, 0, 0}, {"gold", 8000, 20000, 0, 0}};
     const double began = processor_s();
-    UpgradeWorld w(o);
-    submit_arrays(w, 60, 180, 0.4);
-    if (enabled) w.advance_to(90, ClusterVersion::convert);
-    w.run_until(200);
+    UpgradeCluster cluster(options);
+    submit_arrays(cluster, 60, 180, 0.4);
+    if (enabled) cluster.advance_to(90, ClusterVersion::convert);
+    cluster.run_until(200);
     rusage usage{};
     getrusage(RUSAGE_SELF, &usage);
     std::printf(
         "%-9s processor %.1f s, largest resident %ld MB so far, starts %zu, version %llu, rules "
         "broken %zu\n",
         enabled ? "enabled" : "disabled", processor_s() - began, usage.ru_maxrss / 1024,
-        w.checker().starts(), static_cast<unsigned long long>(w.cluster_version()),
-        w.checker().broken().size());
+        cluster.checker().starts(), static_cast<unsigned long long>(cluster.cluster_version()),
+        cluster.checker().violations().size());
     std::fflush(stdout);
   }
 }
--- a/tests/measure/write_fixtures.cc
+++ b/tests/measure/write_fixtures.cc
@@ -18,53 +18,54 @@
 
 constexpr double kDayS = 125;  // s; what ends in a day ends long before
 
-void submit_all(UpgradeWorld& w, const std::vector<StoredJob>& jobs) {
+void submit_all(UpgradeCluster& cluster, const std::vector<StoredJob>& jobs) {
   for (const StoredJob& job : jobs)
-    w.at(job.submitted_s, [&w, job] {
-      w.set_run_s(job.spec.id, job.run_times(2, kNeverEndsS));
-      w.submit(job.spec);
+    cluster.at(job.submitted_s, [&cluster, job] {
+      cluster.set_run_s(job.spec.id, job.run_times(2, kNeverEndsS));
+      cluster.submit(job.spec);
     });
 }
 
-StoredValues values_of(UpgradeWorld& w) {
-  if (!w.checker().broken().empty()) throw std::runtime_error(w.checker().broken().front());
-  if (w.lines("lease expired") > 0) throw std::runtime_error("a machine was lost");
+StoredValues values_of(UpgradeCluster& cluster) {
+  if (!cluster.checker().violations().empty())
+    throw std::runtime_error(cluster.checker().violations().front());
+  if (cluster.lines("lease expired") > 0) throw std::runtime_error("a machine was lost");
   StoredValues values;
-  for (const std::string& key : w.keys("")) values[key] = *w.stored(key);
+  for (const std::string& key : cluster.keys("")) values[key] = *cluster.stored(key);
   return values;
 }
 
 // Controllers that take no part in cluster versions.
 StoredValues first_day() {
-  UpgradeWorld w(stored_day_options());
-  submit_all(w, jobs_of_first_day());
-  submit_all(w, {{done_job(), 12, {0, 1}}, {cancelled_job(), 12}});
-  w.at(20, [&w] { w.cancel(cancelled_job().id); });
-  w.run_until(kDayS);
-  return values_of(w);
+  UpgradeCluster cluster(stored_day_options());
+  submit_all(cluster, jobs_of_first_day());
+  submit_all(cluster, {{done_job(), 12, {0, 1}}, {cancelled_job(), 12}});
+  cluster.at(20, [&cluster] { cluster.cancel(cancelled_job().id); });
+  cluster.run_until(kDayS);
+  return values_of(cluster);
 }
 
 // A machine fails, and is released; the cloud does not take it back before the day is over.
-void release_a_machine(UpgradeWorld& w) {
-  w.kill_machine(kReleasedMachine);
-  while (w.lines("machine released") == 0) w.run_until(w.now() + 0.01);
-  w.cloud_outage(true);
+void release_a_machine(UpgradeCluster& cluster) {
+  cluster.kill_machine(kReleasedMachine);
+  while (cluster.lines("machine released") == 0) cluster.run_until(cluster.now() + 0.01);
+  cluster.cloud_outage(true);
 }
 
 // Steps of every kind, and a machine that is released.
 StoredValues second_day() {
   Options options = stored_day_options();
   options.upgrades = enabled_upgrades();
-  UpgradeWorld w(options);
-  w.ask(12, 0, Action::advance);
-  w.ask(18, 1, Action::abort);
-  w.ask(24, 2, Action::advance);
-  w.ask(30, 0, Action::finalize, {"n1", "n2"});
-  submit_all(w, jobs_of_second_day());
-  w.run_until(8);
-  release_a_machine(w);
-  w.run_until(kDayS);
-  return values_of(w);
+  UpgradeCluster cluster(options);
+  cluster.ask(12, 0, Action::advance);
+  cluster.ask(18, 1, Action::abort);
+  cluster.ask(24, 2, Action::advance);
+  cluster.ask(30, 0, Action::finalize, {"n1", "n2"});
+  submit_all(cluster, jobs_of_second_day());
+  cluster.run_until(8);
+  release_a_machine(cluster);
+  cluster.run_until(kDayS);
+  return values_of(cluster);
 }
 
 // Values of a kind that no short day leaves behind.
--- a/tests/partition_scheduler_test.cc
+++ b/tests/partition_scheduler_test.cc
@@ -17,50 +17,52 @@
 
   void SetUp() override { partition.set_types({box()}); }
   static MachineType box() {
-    MachineType t;
-    t.name = "box";
-    t.cpus = 8;
-    t.memory_gb = 64;
-    t.zones = {"a", "b"};
-    return t;
+    MachineType type;
+    type.name = "box";
+    type.cpus = 8;
+    type.memory_gb = 64;
+    type.zones = {"a", "b"};
+    return type;
   }
   static JobSpec job(const std::string& id, std::uint32_t tasks = 4, const char* team = "red") {
-    JobSpec s;
-    s.id = id;
-    s.team = team;
-    s.tasks = tasks;
-    s.cpus = 1;
-    s.spot = true;
-    return s;
+    JobSpec spec;
+    spec.id = id;
+    spec.team = team;
+    spec.tasks = tasks;
+    spec.cpus = 1;
+    spec.spot = true;
+    return spec;
   }
-  Heartbeat heartbeat(const std::string& m, std::vector<TaskStatus> tasks = {},
+  Heartbeat heartbeat(const std::string& machine, std::vector<TaskStatus> tasks = {},
                       std::uint64_t fencing_token = 0, std::uint64_t incarnation = 1) {
-    Heartbeat r;
-    r.machine = m;
-    r.addr = "w-" + m;
-    r.type = "box";
-    r.zone = "a";
-    r.incarnation = incarnation;
-    r.sequence = ++sequence;
-    r.fencing_token = fencing_token ? fencing_token : partition.fencing_token_of(m);
-    r.tasks = std::move(tasks);
-    return r;
+    Heartbeat sent;
+    sent.machine = machine;
+    sent.addr = "w-" + machine;
+    sent.type = "box";
+    sent.zone = "a";
+    sent.incarnation = incarnation;
+    sent.sequence = ++sequence;
+    sent.fencing_token = fencing_token ? fencing_token : partition.fencing_token_of(machine);
+    sent.tasks = std::move(tasks);
+    return sent;
   }
   // What the machine heartbeats once it has obeyed these starts.
   static std::vector<TaskStatus> running_of(const std::vector<Command>& starts) {
     std::vector<TaskStatus> out;
-    for (const auto& o : starts) out.push_back(task(o.job, o.index, o.attempt));
+    for (const auto& command : starts)
+      out.push_back(task(command.job, command.index, command.attempt));
     return out;
   }
-  static TaskStatus task(const std::string& j, std::uint32_t i, std::uint64_t attempt,
-                         TaskPhase p = TaskPhase::running, ExitReason c = ExitReason::none) {
-    return {j, i, attempt, p, c};
+  static TaskStatus task(const std::string& job, std::uint32_t index, std::uint64_t attempt,
+                         TaskPhase phase = TaskPhase::running,
+                         ExitReason reason = ExitReason::none) {
+    return {job, index, attempt, phase, reason};
   }
 };
 
 // Invariant 5: after a failover, older jobs wait for proof of every machine of the partition; jobs
 // first accepted since then need not.
-TEST_F(PartitionSchedulerTest, OlderJobsWaitForEveryMachineNewOnesDoNot) {
+TEST_F(PartitionSchedulerTest, OnlyJobsFromBeforeAFailoverWaitForEveryMachine) {
   partition.add_machine("m-1", 5, false, 0);
   partition.add_machine("m-2", 5, false, 0);
   partition.open_job(job("run-1"), 7, true, {});
@@ -79,41 +81,40 @@
 // The answer to a heartbeat from before our fencing token renews a lease, so it carries the kills
 // that are owed: those of jobs that are over or cancelled. Nothing else of such a heartbeat is
 // believed.
-TEST_F(PartitionSchedulerTest,
-       AHeartbeatFromBeforeOurFencingTokenIsAnsweredWithTheKillsThatAreOwed) {
+TEST_F(PartitionSchedulerTest, HeartbeatWithAnOlderFencingTokenIsAnsweredWithPendingKills) {
   partition.add_machine("m-1", 5, false, 0);
   partition.open_job(job("run-1"), 7, true, {});
   partition.open_job(job("run-2"), 8, true, {});
   partition.cancel_job("run-2");
-  const HeartbeatReply a = partition.on_heartbeat(
+  const HeartbeatReply reply = partition.on_heartbeat(
       heartbeat("m-1",
                 {task("run-1", 0, 1), task("run-2", 0, 2, TaskPhase::pulling), task("run-3", 0, 3),
                  task("run-3", 1, 4, TaskPhase::exited, ExitReason::stopped)},
                 kToken - 1),
       100);
-  EXPECT_EQ(a.verdict, HeartbeatVerdict::ok);
-  ASSERT_EQ(a.commands.size(), 2u);
-  for (const Command& command : a.commands) {
+  EXPECT_EQ(reply.verdict, HeartbeatVerdict::ok);
+  ASSERT_EQ(reply.commands.size(), 2u);
+  for (const Command& command : reply.commands) {
     EXPECT_EQ(command.type, CommandType::kill);
     EXPECT_EQ(command.grace_s, 0);
   }
-  EXPECT_EQ(a.commands[0].job, "run-2");
-  EXPECT_EQ(a.commands[1].job, "run-3");
+  EXPECT_EQ(reply.commands[0].job, "run-2");
+  EXPECT_EQ(reply.commands[1].job, "run-3");
   EXPECT_EQ(partition.task_counts().bound, 0u);
   EXPECT_TRUE(partition.place_tasks("m-1", 100).empty());
 }
 
 // A heartbeat sent before our fencing token may be minutes late: it proves nothing.
-TEST_F(PartitionSchedulerTest, AHeartbeatFromBeforeOurFencingTokenProvesNothing) {
+TEST_F(PartitionSchedulerTest, HeartbeatWithAnOlderFencingTokenProvesNothing) {
   partition.add_machine("m-1", 5, false, 0);
   partition.open_job(job("run-1"), 7, true, {});
-  HeartbeatReply a = partition.on_heartbeat(heartbeat("m-1", {}, kToken - 1), 100);
-  EXPECT_EQ(a.verdict, HeartbeatVerdict::ok);
-  EXPECT_EQ(a.fencing_token, kToken);
+  HeartbeatReply reply = partition.on_heartbeat(heartbeat("m-1", {}, kToken - 1), 100);
+  EXPECT_EQ(reply.verdict, HeartbeatVerdict::ok);
+  EXPECT_EQ(reply.fencing_token, kToken);
   EXPECT_TRUE(partition.place_tasks("m-1", 100).empty());
 }
 
-TEST_F(PartitionSchedulerTest, ATaskFoundAfterATakeoverIsNotStartedAgain) {
+TEST_F(PartitionSchedulerTest, RunningTaskIsNotRestartedAfterAFailover) {
   partition.add_machine("m-1", 5, false, 0);
   partition.open_job(job("run-1", 2), 7, true, {});
   partition.on_heartbeat(heartbeat("m-1", {task("run-1", 0, 77)}), 100);
@@ -122,7 +123,7 @@
   EXPECT_EQ(starts[0].index, 1u);
 }
 
-TEST_F(PartitionSchedulerTest, ASilentMachineIsGoneOnlyAfterItsLease) {
+TEST_F(PartitionSchedulerTest, SilentMachineIsDeadOnlyAfterItsLeaseExpires) {
   partition.add_machine("m-1", 12, true, 0);
   partition.add_machine("m-2", 12, true, 0);
   partition.open_job(job("run-1", 1), 11, false, {});
@@ -141,7 +142,7 @@
 }
 
 // Invariant 4: a launch is open until that incarnation's next heartbeat shows or lacks it.
-TEST_F(PartitionSchedulerTest, ALaunchThatTheNextHeartbeatLacksIsGivenAgain) {
+TEST_F(PartitionSchedulerTest, LaunchMissingFromTheNextHeartbeatIsRetried) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 1), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
@@ -154,13 +155,13 @@
   EXPECT_GT(second[0].attempt, first[0].attempt);
 }
 
-TEST_F(PartitionSchedulerTest, RepeatedAndReorderedHeartbeatsAreHarmless) {
+TEST_F(PartitionSchedulerTest, DuplicatedAndReorderedHeartbeatsAreIgnored) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 1), 11, false, {});
   Heartbeat old = heartbeat("m-1");
   partition.on_heartbeat(old, 100);
-  auto s = partition.place_tasks("m-1", 100);
-  partition.on_heartbeat(heartbeat("m-1", {task("run-1", 0, s[0].attempt)}), 200);
+  auto starts = partition.place_tasks("m-1", 100);
+  partition.on_heartbeat(heartbeat("m-1", {task("run-1", 0, starts[0].attempt)}), 200);
   EXPECT_EQ(partition.on_heartbeat(old, 300).verdict, HeartbeatVerdict::stale);
   EXPECT_EQ(partition.status("run-1")->running, 1u);
 }
@@ -170,27 +171,28 @@
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 2), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
-  auto s = partition.place_tasks("m-1", 100);
+  auto starts = partition.place_tasks("m-1", 100);
   auto done = [&] {
-    return heartbeat("m-1", {task("run-1", 0, s[0].attempt, TaskPhase::exited, ExitReason::done),
-                             task("run-1", 1, s[1].attempt)});
+    return heartbeat("m-1",
+                     {task("run-1", 0, starts[0].attempt, TaskPhase::exited, ExitReason::done),
+                      task("run-1", 1, starts[1].attempt)});
   };
   EXPECT_TRUE(partition.on_heartbeat(done(), 200).commands.empty());
   EXPECT_EQ(partition.unrecorded("run-1"), std::vector<std::uint32_t>{0});
   partition.mark_recorded("run-1", {0});
-  auto a = partition.on_heartbeat(done(), 300);
-  ASSERT_EQ(a.commands.size(), 1u);
-  EXPECT_EQ(a.commands[0].type, CommandType::clear);
+  auto reply = partition.on_heartbeat(done(), 300);
+  ASSERT_EQ(reply.commands.size(), 1u);
+  EXPECT_EQ(reply.commands[0].type, CommandType::clear);
 }
 
-TEST_F(PartitionSchedulerTest, ACancelledJobIsKilledAndKeepsItsShareUntilGone) {
+TEST_F(PartitionSchedulerTest, CancelledJobIsKilledAndCountsAgainstItsQuotaUntilGone) {
   partition.add_machine("m-1", 12, true, 0);
   partition.add_machine("m-2", 12, true, 0);
   partition.open_job(job("run-1", 8), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
-  auto s = partition.place_tasks("m-1", 100);
-  ASSERT_EQ(s.size(), 8u);
-  const auto running = running_of(s);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
+  const auto running = running_of(starts);
   partition.on_heartbeat(heartbeat("m-1", running), 200);
   partition.close_job("run-1");
   auto kills = partition.take_kills();
@@ -205,7 +207,7 @@
 }
 
 // Until every machine has been heard of, what may run there counts against the limit.
-TEST_F(PartitionSchedulerTest, UnheardMachinesCountAgainstTheLimit) {
+TEST_F(PartitionSchedulerTest, MachinesWithoutHeartbeatCountAgainstTheQuota) {
   partition.add_machine("m-1", 5, false, 0);
   partition.add_machine("m-2", 5, false, 0);
   partition.open_job(job("run-2", 12), 11, false, {});
@@ -213,20 +215,20 @@
   EXPECT_EQ(partition.place_tasks("m-1", 100).size(), 4u);  // 12 less the 8 of m-2
 }
 
-TEST_F(PartitionSchedulerTest, FairShareFirstThenOldest) {
+TEST_F(PartitionSchedulerTest, OrdersByFairShareThenAge) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 8, "red"), 11, false, {});
   partition.open_job(job("run-2", 8, "blue"), 12, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
-  auto s = partition.place_tasks("m-1", 100);
-  ASSERT_EQ(s.size(), 8u);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
   int red = 0;
-  for (const auto& o : s) red += o.job == "run-1";
+  for (const auto& command : starts) red += command.job == "run-1";
   EXPECT_EQ(red, 4);
 }
 
 // The latest start counts, and what can no longer be in time lets the rest go first.
-TEST_F(PartitionSchedulerTest, TheTightestDeadlineThatCanBeMetGoesFirst) {
+TEST_F(PartitionSchedulerTest, TightestFeasibleDeadlineGoesFirst) {
   partition.add_machine("m-1", 12, true, 0);
   JobSpec loose = job("run-1", 2), tight = job("run-2", 2), lost = job("run-3", 2);
   loose.deadline_s = 100;
@@ -241,15 +243,15 @@
   soon.estimate_s = 20;
   partition.open_job(soon, 14, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
-  auto s = partition.place_tasks("m-1", 100);
-  ASSERT_EQ(s.size(), 8u);
-  EXPECT_EQ(s[0].job, "run-4");
-  EXPECT_EQ(s[2].job, "run-2");
-  EXPECT_EQ(s[4].job, "run-1");
-  EXPECT_EQ(s[6].job, "run-3");
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
+  EXPECT_EQ(starts[0].job, "run-4");
+  EXPECT_EQ(starts[2].job, "run-2");
+  EXPECT_EQ(starts[4].job, "run-1");
+  EXPECT_EQ(starts[6].job, "run-3");
 }
 
-TEST_F(PartitionSchedulerTest, OneZoneAndApart) {
+TEST_F(PartitionSchedulerTest, HonoursOneZoneAndSpreadConstraints) {
   partition.add_machine("m-1", 12, true, 0);
   partition.add_machine("m-2", 12, true, 0);
   JobSpec apart = job("run-1", 5);
@@ -264,9 +266,9 @@
   Heartbeat far = heartbeat("m-2");
   far.zone = "b";
   partition.on_heartbeat(far, 200);
-  auto s = partition.place_tasks("m-2", 200);
-  ASSERT_EQ(s.size(), 2u);
-  EXPECT_EQ(s[0].job, "run-1");
+  auto starts = partition.place_tasks("m-2", 200);
+  ASSERT_EQ(starts.size(), 2u);
+  EXPECT_EQ(starts[0].job, "run-1");
 }
 
 // A machine told to run empty takes nothing new for a while; one with a service is left alone.
@@ -280,13 +282,13 @@
 }
 
 // A production service stops lower work here and starts in its room, in one answer.
-TEST_F(PartitionSchedulerTest, AServiceTakesTheRoomOfLowerWorkInOneAnswer) {
+TEST_F(PartitionSchedulerTest, ServicePreemptsLowerPrioritiesInOneReply) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 8), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
-  auto s = partition.place_tasks("m-1", 100);
-  ASSERT_EQ(s.size(), 8u);
-  const auto running = running_of(s);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
+  const auto running = running_of(starts);
   JobSpec service = job("run-2", 1);
   service.kind = JobKind::service;
   service.priority = Priority::production;
@@ -305,35 +307,35 @@
 }
 
 // Within its fair share a team reclaims what another has borrowed, and no more.
-TEST_F(PartitionSchedulerTest, AFairShareIsReclaimedFromBorrowers) {
+TEST_F(PartitionSchedulerTest, FairShareIsReclaimedFromBorrowers) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 8, "red"), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
-  auto s = partition.place_tasks("m-1", 100);
-  ASSERT_EQ(s.size(), 8u);
-  const auto running = running_of(s);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
+  const auto running = running_of(starts);
   partition.open_job(job("run-2", 8, "blue"), 12, false, {});
   partition.on_heartbeat(heartbeat("m-1", running), 200);
   EXPECT_TRUE(partition.place_tasks("m-1", 200).empty());
   partition.on_heartbeat(heartbeat("m-1", running), 4200);
   auto commands = partition.place_tasks("m-1", 4200);
   int kills = 0, launches = 0;
-  for (const auto& o : commands) (o.type == CommandType::kill ? kills : launches)++;
+  for (const auto& command : commands) (command.type == CommandType::kill ? kills : launches)++;
   EXPECT_EQ(kills, 4);  // red keeps its four
   EXPECT_EQ(launches, 4);
 }
 
 // The largest job there may be is queued, recorded in chunks and ended.
-TEST_F(PartitionSchedulerTest, AHundredThousandTasks) {
+TEST_F(PartitionSchedulerTest, LargestJobIsQueuedRecordedAndCompleted) {
   partition.add_machine("m-1", 12, true, 0);
   std::vector<std::uint32_t> done;
   for (std::uint32_t i = 0; i < constants::kTasksMax - 1; ++i) done.push_back(i);
   partition.open_job(job("run-1", constants::kTasksMax), 11, false, done);
   partition.on_heartbeat(heartbeat("m-1"), 100);
-  auto s = partition.place_tasks("m-1", 100);
-  ASSERT_EQ(s.size(), 1u);
-  EXPECT_EQ(s[0].index, constants::kTasksMax - 1);
-  partition.on_heartbeat(heartbeat("m-1", {task("run-1", s[0].index, s[0].attempt,
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 1u);
+  EXPECT_EQ(starts[0].index, constants::kTasksMax - 1);
+  partition.on_heartbeat(heartbeat("m-1", {task("run-1", starts[0].index, starts[0].attempt,
                                                 TaskPhase::exited, ExitReason::done)}),
                          200);
   EXPECT_TRUE(partition.is_complete("run-1"));
@@ -359,14 +361,14 @@
 }
 
 // A worker above our fencing token has another leader.
-TEST_F(PartitionSchedulerTest, AHigherFencingTokenIsNotAnswered) {
+TEST_F(PartitionSchedulerTest, HeartbeatWithAHigherFencingTokenIsStale) {
   partition.add_machine("m-1", 5, false, 0);
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {}, kToken + 1), 100).verdict,
             HeartbeatVerdict::stale);
 }
 
 // Invariant 3: only an idle machine is given away, and nothing starts on it from then on.
-TEST_F(PartitionSchedulerTest, OnlyAnIdleMachineLeaves) {
+TEST_F(PartitionSchedulerTest, OnlyIdleMachinesAreTransferred) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 1), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
@@ -380,7 +382,7 @@
 }
 
 // One lost answer proves nothing: the machine gets one task, and all it can take once that shows.
-TEST_F(PartitionSchedulerTest, ALostAnswerPutsAMachineOnTrial) {
+TEST_F(PartitionSchedulerTest, MachineIsProbedWithOneTaskAfterALostReply) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 8), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
@@ -397,16 +399,16 @@
 
 // A machine that is heard but does not hear: no 200 any more, so its lease ends by our clock too,
 // and its tasks start elsewhere with that proof. Later it is tried with one task.
-TEST_F(PartitionSchedulerTest, ADeafMachineGetsNoAnswerUntilItsLeaseIsOver) {
+TEST_F(PartitionSchedulerTest, MachineThatReceivesNothingIsNotAnsweredUntilItsLeaseExpires) {
   partition.add_machine("m-1", 12, true, 0);
   partition.add_machine("m-2", 12, true, 0);
   partition.open_job(job("run-1", 1), 11, false, {});
-  Ms t = 0;
+  Ms now = 0;
   for (int i = 0; i < 3; ++i) {
-    t += 1000;
-    ASSERT_EQ(partition.on_heartbeat(heartbeat("m-1"), t).verdict, HeartbeatVerdict::ok) << i;
-    ASSERT_EQ(partition.place_tasks("m-1", t).size(), 1u) << i;
-    partition.heartbeat_answered("m-1", t);
+    now += 1000;
+    ASSERT_EQ(partition.on_heartbeat(heartbeat("m-1"), now).verdict, HeartbeatVerdict::ok) << i;
+    ASSERT_EQ(partition.place_tasks("m-1", now).size(), 1u) << i;
+    partition.heartbeat_answered("m-1", now);
   }
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1"), 4000).verdict, HeartbeatVerdict::stale);
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1"), 9000).verdict, HeartbeatVerdict::stale);
@@ -414,7 +416,7 @@
   partition.heartbeat_answered("m-2", 9000);
   // Its last launch is lost: run-1 waits again, and m-2 may have it.
   EXPECT_EQ(partition.place_tasks("m-2", 9000).size(), 1u);
-  EXPECT_EQ(partition.tick(t + 10300), std::vector<std::string>{"m-1"});
+  EXPECT_EQ(partition.tick(now + 10300), std::vector<std::string>{"m-1"});
   // A new incarnation: shunned for a while, then one task.
   partition.open_job(job("run-2", 4), 12, false, {});
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {}, 0, 2), 14000).verdict,
@@ -428,14 +430,14 @@
 
 // After a failover a deaf machine never shows our fencing token. It is told so twice; then its
 // lease runs.
-TEST_F(PartitionSchedulerTest, AFencingTokenThatDoesNotFollowIsNotToldForEver) {
+TEST_F(PartitionSchedulerTest, MachineThatNeverAdoptsTheFencingTokenLosesItsLease) {
   partition.add_machine("m-1", 5, false, 0);
   partition.add_machine("m-2", 5, false, 0);
   partition.open_job(job("run-1", 1), 7, true, {});
-  for (Ms t : {1000, 6000}) {
-    EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {}, kToken - 1), t).verdict,
+  for (Ms now : {1000, 6000}) {
+    EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {}, kToken - 1), now).verdict,
               HeartbeatVerdict::ok);
-    partition.heartbeat_answered("m-1", t);
+    partition.heartbeat_answered("m-1", now);
   }
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {}, kToken - 1), 11000).verdict,
             HeartbeatVerdict::stale);
@@ -448,25 +450,25 @@
 }
 
 // A late copy of an older heartbeat is no proof, renews nothing and frees no room.
-TEST_F(PartitionSchedulerTest, LateCopiesProveNothing) {
+TEST_F(PartitionSchedulerTest, LateDuplicatesProveNothing) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 8), 11, false, {});
   const Heartbeat empty = heartbeat("m-1");
   partition.on_heartbeat(empty, 100);
-  auto s = partition.place_tasks("m-1", 100);
-  ASSERT_EQ(s.size(), 8u);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
   partition.heartbeat_answered("m-1", 100);
-  partition.on_heartbeat(heartbeat("m-1", running_of(s)), 600);
+  partition.on_heartbeat(heartbeat("m-1", running_of(starts)), 600);
   partition.heartbeat_answered("m-1", 600);
-  for (Ms t : {2000, 9000})
-    EXPECT_EQ(partition.on_heartbeat(empty, t).verdict, HeartbeatVerdict::stale);
+  for (Ms now : {2000, 9000})
+    EXPECT_EQ(partition.on_heartbeat(empty, now).verdict, HeartbeatVerdict::stale);
   EXPECT_EQ(partition.status("run-1")->running, 8u);
   EXPECT_EQ(partition.tick(10900).size(), 1u);  // its lease counts from the last true heartbeat
   EXPECT_EQ(partition.on_heartbeat(empty, 30000).verdict, HeartbeatVerdict::stale);
 }
 
 // A job that nothing has been started of for long goes before all that is more urgent.
-TEST_F(PartitionSchedulerTest, AJobThatWaitedTooLongGoesFirst) {
+TEST_F(PartitionSchedulerTest, StarvedJobGoesFirst) {
   partition.add_machine("m-1", 12, true, 0);
   JobSpec large = job("run-1", 40);
   large.estimate_s = 1000;
@@ -477,13 +479,13 @@
   tight.deadline_s = 10;
   partition.open_job(tight, 12, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
-  auto s = partition.place_tasks("m-1", 100);
-  ASSERT_FALSE(s.empty());
-  EXPECT_EQ(s[0].job, "run-1");
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_FALSE(starts.empty());
+  EXPECT_EQ(starts[0].job, "run-1");
 }
 
 // Work that borrows is not stopped sooner than the objective of the fair share asks for.
-TEST_F(PartitionSchedulerTest, AFairShareIsReclaimedInTimeForItsObjective) {
+TEST_F(PartitionSchedulerTest, FairShareIsReclaimedInTimeForItsObjective) {
   SchedulingPolicy limits = kLimits;
   limits.fair_share_start_ms = 15000;
   PartitionScheduler patient{0, kToken, 0, limits, {{"red", 4, 12, 0, 0}, {"blue", 4, 12, 0, 0}}};
@@ -504,33 +506,33 @@
 
 // What fits into room that is free elsewhere, on a machine that has not sent a heartbeat since, is
 // no reason to stop a borrower.
-TEST_F(PartitionSchedulerTest, NoBorrowerIsStoppedWhileThereIsRoomElsewhere) {
+TEST_F(PartitionSchedulerTest, NoBorrowerIsPreemptedWhileThereIsFreeCapacityElsewhere) {
   partition.add_machine("m-1", 12, true, 0);
   partition.add_machine("m-2", 12, true, 0);
   partition.open_job(job("run-1", 8, "red"), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
-  auto s = partition.place_tasks("m-1", 100);
-  ASSERT_EQ(s.size(), 8u);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
   partition.on_heartbeat(heartbeat("m-2"), 200);
   partition.tick(250);
   partition.open_job(job("run-2", 4, "blue"), 12, false, {});
-  partition.on_heartbeat(heartbeat("m-1", running_of(s)), 300);
-  partition.on_heartbeat(heartbeat("m-1", running_of(s)), 4400);
+  partition.on_heartbeat(heartbeat("m-1", running_of(starts)), 300);
+  partition.on_heartbeat(heartbeat("m-1", running_of(starts)), 4400);
   EXPECT_TRUE(partition.place_tasks("m-1", 4400).empty());
   EXPECT_EQ(partition.place_tasks("m-2", 4450).size(), 4u);
 }
 
 // Room that is held for a fetch does no work: a machine serves first what it has the image of, but
 // only within twice the fetch, so that nobody is passed over for long.
-TEST_F(PartitionSchedulerTest, WhatNeedsNoFetchGoesFirstForAWhile) {
+TEST_F(PartitionSchedulerTest, JobsWithACachedImageGoFirstForAWhile) {
   MachineType box{"box", 8, 0, 64, 100, 0.1, 1, 1, 10, {"a", "b"}};
   partition.set_types({box});
   partition.add_machine("m-1", 12, true, 0);
   auto with_image = [](const char* id, const char* image) {
-    JobSpec s = job(id, 8);
-    s.image = image;
-    s.image_gb = 1;  // 10 s
-    return s;
+    JobSpec spec = job(id, 8);
+    spec.image = image;
+    spec.image_gb = 1;  // 10 s
+    return spec;
   };
   partition.open_job(with_image("run-1", "red"), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
@@ -561,7 +563,7 @@
 }
 
 // The work for one heartbeat must not grow with the machines of the partition.
-TEST_F(PartitionSchedulerTest, AHeartbeatCostsAsMuchInALargePartition) {
+TEST_F(PartitionSchedulerTest, HeartbeatCostIsIndependentOfPartitionSize) {
   auto steps = [this](int machines) {
     MachineType box{"box", 8, 0, 64, 100, 0.1, 1, 1, 10, {"a", "b"}};
     partition = PartitionScheduler(0, kToken, 0, kLimits, {{"red", 1e6, 1e6, 0, 0}});
@@ -570,17 +572,17 @@
     for (int i = 0; i < machines; ++i) ids.push_back("m-" + std::to_string(i));
     for (const auto& id : ids) partition.add_machine(id, 12, true, 0);
     for (int n = 0; n < 20; ++n) {
-      JobSpec s = job("run-" + std::to_string(n), 2000);
-      s.image = "image-" + std::to_string(n);
-      s.image_gb = 1;
-      partition.open_job(s, 20 + static_cast<std::uint64_t>(n), false, {});
+      JobSpec spec = job("run-" + std::to_string(n), 2000);
+      spec.image = "image-" + std::to_string(n);
+      spec.image_gb = 1;
+      partition.open_job(spec, 20 + static_cast<std::uint64_t>(n), false, {});
     }
     // Services that have waited long already, and find no room for long.
     for (int n = 20; n < 25; ++n) {
-      JobSpec s = job("run-" + std::to_string(n), 1);
-      s.kind = JobKind::service;
-      s.memory_gb = 65;
-      partition.open_job(s, 20 + static_cast<std::uint64_t>(n), false, {});
+      JobSpec spec = job("run-" + std::to_string(n), 1);
+      spec.kind = JobKind::service;
+      spec.memory_gb = 65;
+      partition.open_job(spec, 20 + static_cast<std::uint64_t>(n), false, {});
     }
     for (Ms now : {2000, 4000, 6000}) {
       partition.tick(now);
@@ -598,48 +600,49 @@
 }
 
 // An image for every job: what is known of images stays bounded, and jobs go on starting.
-TEST_F(PartitionSchedulerTest, AnImageForEveryJob) {
+TEST_F(PartitionSchedulerTest, KnownImagesStayBounded) {
   partition.add_machine("m-1", 12, true, 0);
   for (std::uint64_t n = 0; n < 3 * constants::kImagesKnown; ++n) {
-    JobSpec s = job("run-" + std::to_string(n), 1);
-    s.image = "image-" + std::to_string(n);
-    partition.open_job(s, 20 + n, false, {});
+    JobSpec spec = job("run-" + std::to_string(n), 1);
+    spec.image = "image-" + std::to_string(n);
+    partition.open_job(spec, 20 + n, false, {});
     const Ms now = static_cast<Ms>(n);
     partition.on_heartbeat(heartbeat("m-1"), now);
     partition.tick(now);
     ASSERT_EQ(partition.place_tasks("m-1", now).size(), 1u) << n;
     partition.heartbeat_answered("m-1", now);
-    partition.on_heartbeat(heartbeat("m-1", {task(s.id, 0, (12 << constants::kAttemptBits) + n + 1,
-                                                  TaskPhase::exited, ExitReason::done)}),
-                           now);
-    partition.close_job(s.id);
+    partition.on_heartbeat(
+        heartbeat("m-1", {task(spec.id, 0, (12 << constants::kAttemptBits) + n + 1,
+                               TaskPhase::exited, ExitReason::done)}),
+        now);
+    partition.close_job(spec.id);
   }
   EXPECT_LE(partition.images_known(), constants::kImagesKnown + 1);
 }
 
 // What the leader hears of stated waits: the shortest among the arrays that the partition has.
-TEST_F(PartitionSchedulerTest, TheShortestStatedWaitIsTold) {
+TEST_F(PartitionSchedulerTest, LoadIncludesTheShortestWaitObjective) {
   EXPECT_EQ(partition.load(0).wait_s, 0);
-  JobSpec s = job("run-1");
-  s.jobclass = "prompt";
-  s.kind = JobKind::service;
-  partition.open_job(s, 11, false, {});
+  JobSpec spec = job("run-1");
+  spec.jobclass = "prompt";
+  spec.kind = JobKind::service;
+  partition.open_job(spec, 11, false, {});
   EXPECT_EQ(partition.load(0).wait_s, 0);
-  s.id = "run-2";
-  s.kind = JobKind::array;
-  partition.open_job(s, 12, false, {});
+  spec.id = "run-2";
+  spec.kind = JobKind::array;
+  partition.open_job(spec, 12, false, {});
   EXPECT_EQ(partition.load(0).wait_s, 60);
 }
 
 // A task waits a moment for a free machine that has its image, and no longer.
-TEST_F(PartitionSchedulerTest, ATaskWaitsAMomentForAMachineWithItsImage) {
+TEST_F(PartitionSchedulerTest, TaskWaitsBrieflyForAMachineWithItsImage) {
   MachineType box{"box", 8, 0, 64, 100, 0.1, 1, 1, 10, {"a", "b"}};
   partition.set_types({box});
-  JobSpec s = job("run-1", 2);
-  s.image = "red";
-  s.image_gb = 1;
+  JobSpec spec = job("run-1", 2);
+  spec.image = "red";
+  spec.image_gb = 1;
   partition.add_machine("m-1", 12, true, 0);
-  partition.open_job(s, 11, false, {});
+  partition.open_job(spec, 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
   auto starts = partition.place_tasks("m-1", 100);
   ASSERT_EQ(starts.size(), 2u);
@@ -647,8 +650,8 @@
   partition.on_heartbeat(heartbeat("m-1", running_of(starts)), 200);
   partition.on_heartbeat(heartbeat("m-2"), 300);
   partition.tick(300);
-  s.id = "run-2";
-  partition.open_job(s, 14, false, {});
+  spec.id = "run-2";
+  partition.open_job(spec, 14, false, {});
   EXPECT_TRUE(partition.place_tasks("m-2", 400).empty());
   EXPECT_EQ(partition.place_tasks("m-2", 300 + 1250).size(), 2u);
 }
--- a/tests/processes/child_process.h
+++ b/tests/processes/child_process.h
@@ -17,7 +17,7 @@
   ChildProcess& operator=(const ChildProcess&) = delete;
 
   void kill();
-  void stop(bool on);  // it stands still, or goes on
+  void stop(bool on);  // it pauses, or goes on
   // Its exit code once it has ended, -1 where a signal ended it; nothing while it runs.
   std::optional<int> exit_code();
 
--- a/tests/processes/command_line_test.cc
+++ b/tests/processes/command_line_test.cc
@@ -50,7 +50,7 @@
   std::string directory_ = new_directory("command_line"), output_;
 };
 
-TEST_F(CommandLine, BadOptionsAreNamedAndNothingIsSent) {
+TEST_F(CommandLine, InvalidOptionsAreNamedAndNothingIsSent) {
   const std::string addr = "127.0.0.1:1";  // where nobody listens
   EXPECT_EQ(run({"upgrade"}), kMalformed);
   EXPECT_EQ(run({"upgrade", "status"}), kMalformed);
@@ -68,7 +68,7 @@
   EXPECT_EQ(run({"upgrade", "plan", "--addr", addr, "--by", ""}), kMalformed);
 }
 
-TEST_F(CommandLine, AnUnreachableControllerIsNamed) {
+TEST_F(CommandLine, UnreachableControllerIsNamed) {
   for (const char* command : {"status", "plan", "history"}) {
     EXPECT_EQ(run({"upgrade", command, "--addr", "127.0.0.1:1"}), kFailed) << command;
     EXPECT_TRUE(said("127.0.0.1:1: no answer")) << output_;
@@ -76,7 +76,7 @@
   EXPECT_EQ(run({"upgrade", "advance", "--reason", "x", "--addr", "127.0.0.1:1"}), kFailed);
 }
 
-TEST_F(CommandLine, AMalformedUpgradeFileIsNamedWithItsField) {
+TEST_F(CommandLine, MalformedUpgradeFileIsNamedWithItsField) {
   const std::string platform = file("platform.toml", "");
   const std::string bad =
       file("bad.toml",
@@ -101,8 +101,9 @@
   // All controllers have acknowledged the version, and know so of each other.
   bool all_act_under(std::uint64_t version) {
     const bool all = cluster_.run_until(20, [&] {
-      return cluster_.world().acting(0) == version && cluster_.world().acting(1) == version &&
-             cluster_.world().acting(2) == version;
+      return cluster_.simulated_cluster().acting(0) == version &&
+             cluster_.simulated_cluster().acting(1) == version &&
+             cluster_.simulated_cluster().acting(2) == version;
     });
     cluster_.run_for(1);
     return all;
@@ -119,15 +120,15 @@
   ProcessCluster cluster_;
 };
 
-TEST_F(CommandsDuringFailures, AnswerWithinABoundedTimeAndSayWhatIsNotKnown) {
+TEST_F(CommandsDuringFailures, ExitWithinABoundedTimeAndStateUnknownOutcomes) {
   constexpr double kBoundedS = 25;
-  World& w = cluster_.world();
+  SimulatedCluster& cluster = cluster_.simulated_cluster();
   ASSERT_TRUE(all_act_under(1));
   const std::vector<std::string> advance = {"advance", "--reason", "a test"};
 
   // A dry run changes nothing.
   EXPECT_LT(timed({"advance", "--dry-run"}, {kDone}), kBoundedS);
-  EXPECT_EQ(cluster_.world().cluster_version(), 1u);
+  EXPECT_EQ(cluster_.simulated_cluster().cluster_version(), 1u);
 
   // One controller is gone: the others answer, and say what is missing.
   cluster_.kill(0);
@@ -138,28 +139,28 @@
   ASSERT_TRUE(all_act_under(1));
 
   // The state store refuses all: nothing was done, or it is not known.
-  w.state_outage(true);
+  cluster.state_outage(true);
   EXPECT_LT(timed(advance, {kFailed, kNotKnown}), kBoundedS);
-  w.state_outage(false);
+  cluster.state_outage(false);
   cluster_.run_for(3);
-  ASSERT_EQ(cluster_.world().cluster_version(), 1u);
+  ASSERT_EQ(cluster_.simulated_cluster().cluster_version(), 1u);
 
   // It carries transactions out late and without an answer: the outcome is read, not tried again.
   ASSERT_TRUE(all_act_under(1));
-  w.late_writes({1, 1, 3});
+  cluster.late_writes({1, 1, 3});
   EXPECT_LT(timed(advance, {kDone, kNotKnown}), kBoundedS);
-  w.late_writes({});
+  cluster.late_writes({});
   cluster_.run_for(5);
-  EXPECT_EQ(cluster_.world().cluster_version(), 2u);
-  EXPECT_EQ(cluster_.world().versions().versions(), (std::vector<std::uint64_t>{1, 2}));
+  EXPECT_EQ(cluster_.simulated_cluster().cluster_version(), 2u);
+  EXPECT_EQ(cluster_.simulated_cluster().versions().versions(), (std::vector<std::uint64_t>{1, 2}));
 
   // It is slow.
   ASSERT_TRUE(all_act_under(2));
-  w.state_slow(1.0);
+  cluster.state_slow(1.0);
   EXPECT_LT(timed({"status"}, {kDone}), kBoundedS);
   EXPECT_LT(timed({"history"}, {kDone, kFailed}), kBoundedS);
   EXPECT_LT(timed({"abort", "--reason", "a test"}, {kDone, kFailed, kNotKnown}), kBoundedS);
-  w.state_slow(0);
+  cluster.state_slow(0);
   EXPECT_LT(timed({"history", "--json"}, {kDone}), kBoundedS);
   rapidjson::Document history;
   history.Parse(cluster_.last_output().c_str());
--- a/tests/processes/process_cluster.cc
+++ b/tests/processes/process_cluster.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr int kControllers = 3;
-constexpr Ms kStepMs = 2;                 // pace of the world
+constexpr Ms kStepMs = 2;                 // pace of the simulated cluster
 constexpr double kCommandPatienceS = 60;  // s; every command answers within a bounded time
 constexpr Ms kUserPatienceMs = 5000;      // how long a client waits for a controller
 
@@ -43,7 +43,7 @@
   };
   options_.worker_address = [this](const std::string& machine) { return add_worker(machine); };
   started_at_ = steady_ms();
-  world_ = std::make_unique<UpgradeWorld>(options_);
+  simulated_cluster_ = std::make_unique<UpgradeCluster>(options_);
   state_ = std::make_unique<StandInServer>(base_.get(), stand_in("state"));
   cloud_ = std::make_unique<StandInServer>(base_.get(), stand_in("cloud"));
   for (int node = 0; node < kControllers; ++node)
@@ -53,7 +53,7 @@
 
 ProcessCluster::~ProcessCluster() {
   controllers_.clear();
-  world_.reset();
+  simulated_cluster_.reset();
   workers_.clear();
   state_.reset();
   cloud_.reset();
@@ -63,17 +63,17 @@
 
 StandInServer::Handler ProcessCluster::stand_in(const std::string& name) {
   return [this, name](const HttpRequest& request, std::function<void(HttpReply)> done) {
-    world_->serve(name, request, std::move(done));
+    simulated_cluster_->serve(name, request, std::move(done));
   };
 }
 
-// Each machine has a port of its own; the world knows it by that address.
+// Each machine has a port of its own; the simulated cluster knows it by that address.
 std::string ProcessCluster::add_worker(const std::string& machine) {
   auto& server = workers_[machine];
   server = std::make_unique<StandInServer>(
       base_.get(),
       [this, machine](const HttpRequest& request, std::function<void(HttpReply)> done) {
-        world_->serve(workers_.at(machine)->address(), request, std::move(done));
+        simulated_cluster_->serve(workers_.at(machine)->address(), request, std::move(done));
       });
   return server->address();
 }
@@ -135,7 +135,7 @@
 bool ProcessCluster::run_until(double seconds_from_now, const std::function<bool()>& condition) {
   const double end = now() + seconds_from_now;
   while (now() < end) {
-    world_->run_until(now());
+    simulated_cluster_->run_until(now());
     event_base_loop(base_.get(), EVLOOP_NONBLOCK);
     if (condition()) return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(kStepMs));
--- a/tests/processes/process_cluster.h
+++ b/tests/processes/process_cluster.h
@@ -1,5 +1,5 @@
-// Three controllers as real processes on loopback. State service, cloud, workers and users are
-// those of the simulated world, served over real sockets, in real time.
+// Three controllers as real processes on loopback. state store, cloud, workers and users are
+// those of the simulated cluster, served over real sockets, in real time.
 #pragma once
 #include <map>
 #include <memory>
@@ -25,7 +25,7 @@
   ProcessCluster(Options options, const std::string& directory);
   ~ProcessCluster();
 
-  UpgradeWorld& world() { return *world_; }
+  UpgradeCluster& simulated_cluster() { return *simulated_cluster_; }
   void start(int node, const ControllerBuild& build);
   void kill(int node) { controllers_[static_cast<std::size_t>(node)].reset(); }
   void stop(int node, bool on) { controllers_[static_cast<std::size_t>(node)]->stop(on); }
@@ -57,7 +57,7 @@
   std::vector<ControllerAddress> addresses_;
   std::vector<std::unique_ptr<net::HttpClient>> clients_;
   std::map<std::string, std::unique_ptr<StandInServer>> workers_;  // by machine
-  std::unique_ptr<UpgradeWorld> world_;
+  std::unique_ptr<UpgradeCluster> simulated_cluster_;
   std::unique_ptr<StandInServer> state_, cloud_;
   std::vector<std::unique_ptr<ChildProcess>> controllers_;
   Ms started_at_ = 0;
--- a/tests/processes/rolling_upgrade_processes_test.cc
+++ b/tests/processes/rolling_upgrade_processes_test.cc
@@ -32,7 +32,7 @@
         random_(seed_),
         newer_{EIDERREEL_PROGRAM, true},
         older_{EIDERREEL_LOWER_CEILING_PROGRAM, true},
-        cluster_(options(),
+        cluster_(cluster_options(),
                  testing::TempDir() + "eiderreel_processes_" + std::to_string(getpid())) {
     if (const char* program = std::getenv("EIDERREEL_OLDER_BUILD")) older_ = {program, false};
     std::printf("seed %llu, logs in %s\n", static_cast<unsigned long long>(seed_),
@@ -42,30 +42,30 @@
     if (!HasFailure()) std::filesystem::remove_all(cluster_.directory());
   }
 
-  Options options() const {
-    Options o = upgrade_options(seed_);
-    o.teams = {{"red", 16, 48, 0, 0}, {"blue", 16, 48, 0, 0}, {"gold", 16, 48, 0, 0}};
-    return o;
+  Options cluster_options() const {
+    Options options = upgrade_options(seed_);
+    options.teams = {{"red", 16, 48, 0, 0}, {"blue", 16, 48, 0, 0}, {"gold", 16, 48, 0, 0}};
+    return options;
   }
 
-  // Jobs all the time, some of them cancelled; the world's users ask about each.
+  // Jobs all the time, some of them cancelled; the simulated cluster's users ask about each.
   void submit_while_running() {
-    World& w = cluster_.world();
-    w.at(w.now() + kSubmitEveryS, [this, &w] {
+    SimulatedCluster& cluster = cluster_.simulated_cluster();
+    cluster.at(cluster.now() + kSubmitEveryS, [this, &cluster] {
       if (!submitting_) return;
       const std::string id = "run-" + std::to_string(++jobs_);
       const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(jobs_ % 3)];
       std::vector<double> run_s;
       for (int task = 0; task < 6; ++task) run_s.push_back(1 + (task * 5 + jobs_) % 11);
-      w.submit(w.job(id, team, 6, 1, 5));
-      w.set_run_s(id, run_s);
-      if (jobs_ % 5 == 0) w.at(w.now() + 3, [&w, id] { w.cancel(id); });
+      cluster.submit(cluster.job(id, team, 6, 1, 5));
+      cluster.set_run_s(id, run_s);
+      if (jobs_ % 5 == 0) cluster.at(cluster.now() + 3, [&cluster, id] { cluster.cancel(id); });
       submit_while_running();
     });
   }
   bool all_ended() {
     for (int n = 1; n <= jobs_; ++n) {
-      const std::string phase = cluster_.world().phase("run-" + std::to_string(n));
+      const std::string phase = cluster_.simulated_cluster().phase("run-" + std::to_string(n));
       if (phase != "done" && phase != "cancelled") return false;
     }
     return true;
@@ -80,7 +80,8 @@
     return upgraded_.count(node) ? newer_ : older_;
   }
   bool has_record(int node) {
-    const std::string* record = cluster_.world().stored("e/node/n" + std::to_string(node));
+    const std::string* record =
+        cluster_.simulated_cluster().stored("e/node/n" + std::to_string(node));
     const std::string mark = upgraded_.count(node) ? "\"newest\":4" : "\"boot\"";
     return record && record->find(mark) != std::string::npos;
   }
@@ -89,7 +90,7 @@
     cluster_.run_for(number_in(0.05, 1.5));
     cluster_.start(node, build_of(node));
   }
-  // One of them is killed, or stands still for up to longer than its lease, and comes back.
+  // One of them is killed, or pauses for up to longer than its lease, and comes back.
   void disturb() {
     const int node = pick(3);
     if (pick(3) > 0) return restart(node);
@@ -99,17 +100,17 @@
   }
   // Asks for a step until it is taken; disturbances come between and during the attempts.
   void take_step(std::vector<std::string> words, std::uint64_t version) {
-    cluster_.world().at(cluster_.world().now() + number_in(0, 0.4), [this] {
+    cluster_.simulated_cluster().at(cluster_.simulated_cluster().now() + number_in(0, 0.4), [this] {
       if (const int node = pick(3); pick(2) == 0) kill_soon_ = node;
     });
     const double end = cluster_.now() + kStepPatienceS;
-    while (cluster_.world().cluster_version() < version && cluster_.now() < end) {
+    while (cluster_.simulated_cluster().cluster_version() < version && cluster_.now() < end) {
       const int code = cluster_.command(newer_, words);
       EXPECT_TRUE(code == 0 || code == 1 || code == 3) << code << ": " << cluster_.last_output();
       if (kill_soon_ >= 0) restart(std::exchange(kill_soon_, -1));
       cluster_.run_for(1);
     }
-    EXPECT_EQ(cluster_.world().cluster_version(), version) << cluster_.last_output();
+    EXPECT_EQ(cluster_.simulated_cluster().cluster_version(), version) << cluster_.last_output();
   }
 
   std::uint64_t seed_;
@@ -154,17 +155,17 @@
   cluster_.run_for(3);
 
   submitting_ = false;
-  cluster_.world().troubles_over();
+  cluster_.simulated_cluster().faults_over();
   EXPECT_TRUE(cluster_.run_until(kDrainPatienceS, [&] { return all_ended(); }));
   for (int node = 0; node < 3; ++node) {
     EXPECT_FALSE(cluster_.ended(node)) << "n" << node << " ended by itself";
-    EXPECT_EQ(cluster_.world().acting(node), 4u);
+    EXPECT_EQ(cluster_.simulated_cluster().acting(node), 4u);
   }
-  EXPECT_EQ(cluster_.world().progress_in_bits(), 0u);
-  EXPECT_GT(cluster_.world().versions().progress_written(true), 0u);
-  std::printf("%d jobs, %zu starts, %.0f s\n", jobs_, cluster_.world().checker().starts(),
-              cluster_.now());
-  expect_rules_kept(cluster_.world());
+  EXPECT_EQ(cluster_.simulated_cluster().progress_in_bits(), 0u);
+  EXPECT_GT(cluster_.simulated_cluster().versions().progress_written(true), 0u);
+  std::printf("%d jobs, %zu starts, %.0f s\n", jobs_,
+              cluster_.simulated_cluster().checker().starts(), cluster_.now());
+  expect_rules_kept(cluster_.simulated_cluster());
 }
 
 }  // namespace
--- a/tests/random_days_test.cc
+++ b/tests/random_days_test.cc
@@ -1,5 +1,5 @@
-// Random days: a load with many cancellations, and troubles drawn in pairs and triples from all
-// that the simulated world knows. A few fixed days run with the other tests. More are searched by
+// Random days: a load with many cancellations, and faults drawn in pairs and triples from all
+// that the simulated cluster knows. A few fixed days run with the other tests. More are searched by
 // hand:
 //
 //   EIDERREEL_DAYS=1-500 target/tests/eiderreel_tests --gtest_filter='RandomDays.*'
@@ -18,43 +18,43 @@
 namespace {
 
 constexpr int kMachines = 9;
-constexpr double kTroublesBegin = 20, kTroublesEnd = 200, kDayEnds = 330;
+constexpr double kFaultsBegin = 20, kFaultsEnd = 200, kDayEnds = 330;
 const std::array<const char*, 3> kTeams = {"red", "blue", "gold"};
 
 class RandomDay {
  public:
-  explicit RandomDay(std::uint64_t number) : random_(number * 7919), world_(options(number)) {
+  explicit RandomDay(std::uint64_t number) : random_(number * 7919), cluster_(day_options(number)) {
     add_jobs();
-    for (double t = kTroublesBegin; t < kTroublesEnd - 40; t += number_in(10, 35))
-      for (int n = 0; n < 3; ++n) add_trouble(t + number_in(0, 8));
+    for (double time_s = kFaultsBegin; time_s < kFaultsEnd - 40; time_s += number_in(10, 35))
+      for (int n = 0; n < 3; ++n) add_fault(time_s + number_in(0, 8));
     if (number % 3 == 0)
-      world_.at(number_in(40, kTroublesEnd), [this] { world_.limit_state(2, 5, 60); });
-    world_.at(kTroublesEnd, [this] { end_all_troubles(); });
+      cluster_.at(number_in(40, kFaultsEnd), [this] { cluster_.limit_state(2, 5, 60); });
+    cluster_.at(kFaultsEnd, [this] { end_all_faults(); });
   }
 
-  World& world() { return world_; }
-  void play() { world_.run_until(kDayEnds); }
+  SimulatedCluster& cluster() { return cluster_; }
+  void play() { cluster_.run_until(kDayEnds); }
   std::size_t cancelled() const { return cancelled_; }
   std::size_t dependents() const { return dependents_; }
 
  private:
   // Heartbeats every second, or so seldom that two leases outlast a cancellation.
-  Options options(std::uint64_t number) {
-    Options o;
-    o.seed = number;
-    o.machines = kMachines;
+  Options day_options(std::uint64_t number) {
+    Options options;
+    options.seed = number;
+    options.machines = kMachines;
     if (number % 2) {
-      o.heartbeat_interval_s = 5;
-      o.lease_s = 26;
-      o.cancel_s = 44;
+      options.heartbeat_interval_s = 5;
+      options.lease_s = 26;
+      options.cancel_s = 44;
     }
     if (number % 3 == 0) {  // lower limits come on some day
-      o.next_value_kb = 2;
-      o.next_txn_ops = 5;
-      o.next_write_rps = 60;
+      options.next_value_kb = 2;
+      options.next_txn_ops = 5;
+      options.next_write_rps = 60;
     }
-    lease_s_ = o.lease_s;
-    return o;
+    lease_s_ = options.lease_s;
+    return options;
   }
 
   double number_in(double least, double most) {
@@ -72,22 +72,22 @@
   // Services and arrays all day; most are cancelled at some time, some of them at once.
   void add_jobs() {
     int next = 0;
-    for (double t = 5; t < kTroublesEnd; t += number_in(0.5, 5)) {
+    for (double time_s = 5; time_s < kFaultsEnd; time_s += number_in(0.5, 5)) {
       const std::string id = "run-" + std::to_string(++next);
       const char* team = kTeams[static_cast<std::size_t>(pick(3))];
       const bool service = likely(0.4);
-      JobSpec job = service ? world_.service(id, team, 1, 1 + pick(2))
-                            : world_.job(id, team, static_cast<std::uint32_t>(1 + pick(8)), 1,
-                                         number_in(2, 60));
+      JobSpec job = service ? cluster_.service(id, team, 1, 1 + pick(2))
+                            : cluster_.job(id, team, static_cast<std::uint32_t>(1 + pick(8)), 1,
+                                           number_in(2, 60));
       if (likely(0.3)) {
         job.checkpoint_s = 5;
         job.save_s = 4;
       }
       if (!service && next > 1 && likely(0.6)) add_prerequisites(job, next);
-      world_.at(t, [this, job] { world_.submit_chained(job); });
+      cluster_.at(time_s, [this, job] { cluster_.submit_chained(job); });
       if (!service && likely(0.3)) continue;
       ++cancelled_;
-      world_.at(t + number_in(0.1, service ? 90 : 30), [this, id] { world_.cancel(id); });
+      cluster_.at(time_s + number_in(0.1, service ? 90 : 30), [this, id] { cluster_.cancel(id); });
     }
   }
 
@@ -100,133 +100,138 @@
     job.prerequisites.assign(needed.begin(), needed.end());
   }
 
-  void during(double t, double for_s, std::function<void()> begin, std::function<void()> end) {
-    world_.at(t, std::move(begin));
-    world_.at(t + for_s, std::move(end));
+  void during(double time_s, double for_s, std::function<void()> begin, std::function<void()> end) {
+    cluster_.at(time_s, std::move(begin));
+    cluster_.at(time_s + for_s, std::move(end));
   }
 
-  void add_trouble(double t) {
+  void add_fault(double time_s) {
     switch (pick(4)) {
       case 0:
-        return add_controller_trouble(t);
+        return add_controller_fault(time_s);
       case 1:
-        return add_machine_trouble(t);
+        return add_machine_fault(time_s);
       case 2:
-        return add_state_trouble(t);
+        return add_state_fault(time_s);
       default:
-        return add_network_trouble(t);
+        return add_network_fault(time_s);
     }
   }
 
-  void add_controller_trouble(double t) {
+  void add_controller_fault(double time_s) {
     const int node = pick(3);
     const double back_s = std::array{0.2, 1.0, 4.0, 12.0}[static_cast<std::size_t>(pick(4))];
     const double still_s = std::array{0.8, 2.5, 4.2, 12.0}[static_cast<std::size_t>(pick(4))];
     switch (pick(4)) {
       case 0:
-        return world_.at(t, [=, this] { world_.crash(node, back_s); });
+        return cluster_.at(time_s, [=, this] { cluster_.crash(node, back_s); });
       case 1:
-        return world_.at(t, [=, this] {
-          for (int n = 0; n < 3; ++n) world_.crash(n, back_s + n);
+        return cluster_.at(time_s, [=, this] {
+          for (int n = 0; n < 3; ++n) cluster_.crash(n, back_s + n);
         });
       case 2:
-        return world_.at(t, [=, this] {
-          if (const int leader = world_.leader_of(node); leader >= 0) world_.crash(leader, back_s);
+        return cluster_.at(time_s, [=, this] {
+          if (const int leader = cluster_.leader_of(node); leader >= 0)
+            cluster_.crash(leader, back_s);
         });
       default:
-        return world_.at(t, [=, this] { world_.freeze(node, still_s); });
+        return cluster_.at(time_s, [=, this] { cluster_.freeze(node, still_s); });
     }
   }
 
-  void add_machine_trouble(double t) {
+  void add_machine_fault(double time_s) {
     const auto machines = some_machines();
     const double for_s =
         std::array{3.0, lease_s_ - 2, lease_s_ + 3}[static_cast<std::size_t>(pick(3))];
-    auto set = [this, machines](void (World::*trouble)(const std::string&, bool), bool on) {
-      return [this, machines, trouble, on] {
-        for (const auto& name : machines) (world_.*trouble)(name, on);
+    auto set = [this, machines](void (SimulatedCluster::*fault)(const std::string&, bool),
+                                bool on) {
+      return [this, machines, fault, on] {
+        for (const auto& name : machines) (cluster_.*fault)(name, on);
       };
     };
-    const std::array kinds = {&World::freeze_machine, &World::deafen, &World::mute};
+    const std::array kinds = {&SimulatedCluster::freeze_machine, &SimulatedCluster::deafen,
+                              &SimulatedCluster::mute};
     const auto kind = kinds[static_cast<std::size_t>(pick(3))];
-    during(t, for_s, set(kind, true), set(kind, false));
+    during(time_s, for_s, set(kind, true), set(kind, false));
   }
 
-  void add_state_trouble(double t) {
+  void add_state_fault(double time_s) {
     const int node = pick(3);
     const double for_s = std::array{4.0, 12.0, 30.0}[static_cast<std::size_t>(pick(3))];
     switch (pick(4)) {
       case 0:
         return during(
-            t, for_s, [this] { world_.state_outage(true); },
-            [this] { world_.state_outage(false); });
+            time_s, for_s, [this] { cluster_.state_outage(true); },
+            [this] { cluster_.state_outage(false); });
       case 1:
         return during(
-            t, for_s, [=, this] { world_.state_refuses(node, true); },
-            [=, this] { world_.state_refuses(node, false); });
+            time_s, for_s, [=, this] { cluster_.state_refuses(node, true); },
+            [=, this] { cluster_.state_refuses(node, false); });
       case 2:
         return during(
-            t, for_s,
+            time_s, for_s,
             [this] {
-              world_.late_writes({0.3, 0.5, 12});
+              cluster_.late_writes({0.3, 0.5, 12});
             },
-            [this] { world_.late_writes({}); });
+            [this] { cluster_.late_writes({}); });
       default:
         return during(
-            t, for_s, [this] { world_.state_slow(1.2); }, [this] { world_.state_slow(0); });
+            time_s, for_s, [this] { cluster_.state_slow(1.2); },
+            [this] { cluster_.state_slow(0); });
     }
   }
 
-  void add_network_trouble(double t) {
+  void add_network_fault(double time_s) {
     const std::string node = "n" + std::to_string(pick(3));
     const CutMode mode = likely(0.5) ? CutMode::hold : CutMode::reset;
     const double for_s = number_in(3, lease_s_ + 5);
     std::set<std::string> workers;
     for (const auto& name : some_machines()) workers.insert(address(name));
-    auto cut = [=, this](std::set<std::string> a, std::set<std::string> b) {
+    auto cut = [=, this](std::set<std::string> one_side, std::set<std::string> other_side) {
       during(
-          t, for_s, [=, this] { world_.cut(a, b, mode); }, [this] { world_.heal(); });
+          time_s, for_s, [=, this] { cluster_.cut(one_side, other_side, mode); },
+          [this] { cluster_.heal(); });
     };
     switch (pick(5)) {
       case 0:
-        return cut(workers, {World::all()});
+        return cut(workers, {SimulatedCluster::all()});
       case 1:
         return cut({node}, {"state"});
       case 2:
         return cut({node}, {"state", "n0", "n1", "n2"});
       case 3:
         return during(
-            t, for_s, [this] { world_.duplicate_heartbeats(true); },
-            [this] { world_.duplicate_heartbeats(false); });
+            time_s, for_s, [this] { cluster_.duplicate_heartbeats(true); },
+            [this] { cluster_.duplicate_heartbeats(false); });
       default:
         return during(
-            t, for_s,
+            time_s, for_s,
             [this] {
-              world_.late_commands({0.7, 2, 16});
+              cluster_.late_commands({0.7, 2, 16});
             },
-            [this] { world_.late_commands({}); });
+            [this] { cluster_.late_commands({}); });
     }
   }
 
-  void end_all_troubles() {
-    world_.heal();
-    world_.state_outage(false);
-    world_.late_writes({});
-    world_.late_commands({});
-    world_.state_slow(0);
-    world_.duplicate_heartbeats(false);
-    for (int n = 0; n < 3; ++n) world_.state_refuses(n, false);
-    world_.troubles_over();
+  void end_all_faults() {
+    cluster_.heal();
+    cluster_.state_outage(false);
+    cluster_.late_writes({});
+    cluster_.late_commands({});
+    cluster_.state_slow(0);
+    cluster_.duplicate_heartbeats(false);
+    for (int n = 0; n < 3; ++n) cluster_.state_refuses(n, false);
+    cluster_.faults_over();
     for (int i = 0; i < kMachines; ++i) {
-      world_.freeze_machine(machine(i), false);
-      world_.deafen(machine(i), false);
-      world_.mute(machine(i), false);
+      cluster_.freeze_machine(machine(i), false);
+      cluster_.deafen(machine(i), false);
+      cluster_.mute(machine(i), false);
     }
   }
 
   std::mt19937_64 random_;
   double lease_s_ = 0;
-  World world_;
+  SimulatedCluster cluster_;
   std::size_t cancelled_ = 0, dependents_ = 0;
 };
 
@@ -239,18 +244,18 @@
   return range;
 }
 
-TEST(RandomDays, KeepTheRules) {
+TEST(RandomDays, ViolateNoRule) {
   const auto [first, last] = days();
   for (std::uint64_t number = first; number <= last; ++number) {
     RandomDay day(number);
     day.play();
     EXPECT_GT(day.cancelled(), 20u);
     EXPECT_GT(day.dependents(), 10u);
-    EXPECT_EQ(day.world().refused_too_large(), 0u);
-    EXPECT_GT(day.world().checker().starts(), 50u);
-    expect_rules_kept(day.world(), "day " + std::to_string(number));
+    EXPECT_EQ(day.cluster().refused_too_large(), 0u);
+    EXPECT_GT(day.cluster().checker().starts(), 50u);
+    expect_rules_kept(day.cluster(), "day " + std::to_string(number));
     if (std::getenv("EIDERREEL_TRACE"))
-      for (const auto& line : day.world().trace()) std::puts(line.c_str());
+      for (const auto& line : day.cluster().trace()) std::puts(line.c_str());
   }
 }
 
--- a/tests/standin/chains.h
+++ b/tests/standin/chains.h
@@ -19,20 +19,21 @@
 inline std::string id(int n) { return "run-" + std::to_string(n); }
 
 inline Options seeded(std::uint64_t seed) {
-  Options o;
-  o.seed = seed;
-  return o;
+  Options options;
+  options.seed = seed;
+  return options;
 }
 
 // run-1 (red) <- run-2 (blue) <- run-3 (gold); each runs for `run_s`.
-inline void submit_pipeline(World& w, double run_s) {
-  w.submit(w.job("run-1", "red", 4, 1, run_s));
-  w.submit_chained(needing(w.job("run-2", "blue", 4, 1, run_s), {"run-1"}));
-  w.submit_chained(needing(w.job("run-3", "gold", 4, 1, run_s), {"run-2"}));
+inline void submit_pipeline(SimulatedCluster& cluster, double run_s) {
+  cluster.submit(cluster.job("run-1", "red", 4, 1, run_s));
+  cluster.submit_chained(needing(cluster.job("run-2", "blue", 4, 1, run_s), {"run-1"}));
+  cluster.submit_chained(needing(cluster.job("run-3", "gold", 4, 1, run_s), {"run-2"}));
 }
 
-inline void expect_phase(World& w, const std::vector<std::string>& ids, const std::string& phase) {
-  for (const auto& job : ids) EXPECT_EQ(w.phase(job), phase) << job;
+inline void expect_phase(SimulatedCluster& cluster, const std::vector<std::string>& ids,
+                         const std::string& phase) {
+  for (const auto& job : ids) EXPECT_EQ(cluster.phase(job), phase) << job;
 }
 
 }  // namespace eiderreel::standin
--- a/tests/standin/expectations.h
+++ b/tests/standin/expectations.h
@@ -1,5 +1,5 @@
-// What the tests of the simulated world share: names of its machines, and the rules that every day
-// must keep.
+// What the tests of the simulated cluster share: names of its machines, and the rules that every
+// day must keep.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 
 namespace eiderreel::standin {
 
-// The n-th machine of a world, and its address.
+// The n-th machine of a simulated cluster, and its address.
 inline std::string machine(int n) {
   const std::string digits = std::to_string(n);
   return "m-" + std::string(6 - digits.size(), '0') + digits;
@@ -17,9 +17,10 @@
 inline std::string address(const std::string& machine) { return "w-" + machine; }
 
 // No rule is broken, and the day was one on which tasks started.
-inline void expect_rules_kept(World& w, const std::string& day = "") {
-  for (const auto& rule : w.checker().broken()) ADD_FAILURE() << day << " rule broken: " << rule;
-  EXPECT_GT(w.checker().starts(), 0u);
+inline void expect_rules_kept(SimulatedCluster& cluster, const std::string& day = "") {
+  for (const auto& rule : cluster.checker().violations())
+    ADD_FAILURE() << day << " rule broken: " << rule;
+  EXPECT_GT(cluster.checker().starts(), 0u);
 }
 
 }  // namespace eiderreel::standin
--- a/tests/standin/machine_model.h
+++ b/tests/standin/machine_model.h
@@ -1,4 +1,4 @@
-// What the machines of the simulated world are like.
+// What the machines of the simulated cluster are like.
 #pragma once
 #include "constants.h"
 
--- a/tests/standin/simulated_cluster.h
+++ b/tests/standin/simulated_cluster.h
@@ -1,6 +1,6 @@
 // A stand-in for all that the service deals with, written from the published protocol: state
 // service, cloud, workers, users and the network between them, in simulated time. The same seed
-// gives the same world; nothing here looks at a clock.
+// gives the same run; nothing here looks at a clock.
 #pragma once
 #include <functional>
 #include <map>
@@ -42,21 +42,22 @@
   // What the operators' upgrade file says, the same for all controllers; without one, they take no
   // partition in cluster versions.
   std::optional<upgrade::UpgradeSettings> upgrades;
-  // Controllers that are processes of their own, reached by this; none is started in the world.
+  // Controllers that are processes of their own, reached by this; none is started in the simulated
+  // cluster.
   std::function<void(int node, HttpRequest request, std::function<void(HttpReply)> done)> processes;
   // The address at which a machine can be reached by such processes.
   std::function<std::string(const std::string& machine)> worker_address;
 };
 
-class World {
+class SimulatedCluster {
  public:
   using Done = std::function<void(HttpReply)>;
-  explicit World(Options o);
-  ~World();
+  explicit SimulatedCluster(Options options);
+  ~SimulatedCluster();
 
   // --- a day's script ---
-  void at(double t, std::function<void()> f);
-  void run_until(double t);
+  void at(double time_s, std::function<void()> action);
+  void run_until(double time_s);
   double now() const { return now_ / 1000.0; }
 
   // --- users ---
@@ -72,10 +73,10 @@
   void cancel_at(int node, const std::string& id);  // asks this node first
   // A submission again, to one node; and one that must not be accepted.
   void repeat(int node, const JobSpec& spec);
-  void submit_odd(int node, const std::string& body);
-  std::size_t odd_refused(int status) const {  // submissions of that kind, by their answer
-    auto it = odd_.find(status);
-    return it == odd_.end() ? 0 : it->second;
+  void submit_invalid(int node, const std::string& body);
+  std::size_t invalid_rejected(int status) const {  // submissions of that kind, by their answer
+    auto it = invalid_answers_.find(status);
+    return it == invalid_answers_.end() ? 0 : it->second;
   }
   void poll_once(int node, const std::string& id, std::function<void(int, std::string)> done);
   // What users have last been told; empty: nothing.
@@ -95,7 +96,7 @@
     arrive("process", to, request, std::move(done));
   }
 
-  // --- troubles ---
+  // --- faults ---
   void crash(int node, double back_after_s = 4);
   // It is killed and comes back as the new build.
   void upgrade(int node, double back_after_s = 4);
@@ -104,16 +105,16 @@
   void install(int node, upgrade::ClusterVersion newest, double back_after_s = 4);
   // From now on these limits are in force at the state store.
   void limit_state(double value_kb, int txn_ops, double write_rps);
-  // The process stands still while its clocks run on; then all that came meanwhile is taken in.
+  // The process pauses while its clocks run on; then all that came meanwhile is taken in.
   void freeze(int node, double for_s);
   void cut(std::set<std::string> a, std::set<std::string> b, CutMode mode);
   void heal();
   void state_outage(bool on);             // 503 for all
   void state_refuses(int node, bool on);  // 503 for one node
-  void late_writes(Delays delays) { state_service_.set_late_writes(delays); }
+  void late_writes(Delays delays) { state_store_.set_late_writes(delays); }
   // Of direct commands.
   void late_commands(Delays delays) { late_commands_ = delays; }
-  void state_slow(double most_s) { state_service_.set_slowest(static_cast<Ms>(most_s * 1000)); }
+  void state_slow(double most_s) { state_store_.set_slowest(static_cast<Ms>(most_s * 1000)); }
   void cloud_outage(bool on) { cloud_down_ = on; }
   void kill_machine(const std::string& id);  // stops, with all that is on it
   void take_machine(const std::string& id, double notice_s);
@@ -130,27 +131,27 @@
   void stuck_boots(bool on) { stuck_boots_ = on; }
 
   // --- what came of it ---
-  Checker& checker() { return checker_; }
+  RuleChecker& checker() { return checker_; }
   const std::vector<std::string>& trace() const { return trace_; }
-  Controller* node(int i) { return procs_[static_cast<std::size_t>(i)].node.get(); }
+  Controller* node(int i) { return controllers_[static_cast<std::size_t>(i)].node.get(); }
   int leader_of(int partition) const;
   std::size_t tasks_on(const std::string& job) const;
   std::vector<std::string> machines_of(const std::string& job) const;
   std::size_t machines_up() const;
-  std::size_t commits() const { return state_service_.counters().commits; }
+  std::size_t commits() const { return state_store_.counters().commits; }
   // Requests that were larger than the state store takes.
-  std::size_t refused_too_large() const { return state_service_.counters().too_large; }
-  const std::string* stored(const std::string& key) const { return state_service_.value(key); }
-  void store(const std::string& key, const std::string& value) { state_service_.put(key, value); }
+  std::size_t refused_too_large() const { return state_store_.counters().too_large; }
+  const std::string* stored(const std::string& key) const { return state_store_.value(key); }
+  void store(const std::string& key, const std::string& value) { state_store_.put(key, value); }
   std::vector<std::string> keys(const std::string& prefix) const {
-    return state_service_.keys(prefix);
+    return state_store_.keys(prefix);
   }
   const VersionChecker& versions() const { return version_checker_; }
-  bool is_up(int node) const { return procs_[static_cast<std::size_t>(node)].up; }
+  bool is_up(int node) const { return controllers_[static_cast<std::size_t>(node)].up; }
   std::size_t keys_under(const std::string& prefix) const {
-    return state_service_.keys_under(prefix);
+    return state_store_.keys_under(prefix);
   }
-  std::size_t refused_over_limit() const { return state_service_.counters().over_limit; }
+  std::size_t refused_over_limit() const { return state_store_.counters().over_limit; }
   std::size_t launches_to(const std::string& machine) const;
   // Heartbeats that a node has answered with 200.
   std::size_t heartbeats_accepted(int node) const;
@@ -165,25 +166,25 @@
   // Lines of the trace that hold this text.
   std::size_t lines(const std::string& text) const;
   // Transactions that were carried out late.
-  std::size_t landed_late() const { return state_service_.counters().landed_late; }
+  std::size_t landed_late() const { return state_store_.counters().landed_late; }
   // Transactions that got no answer, whether they landed or met newer ones.
-  std::size_t without_answer() const { return state_service_.counters().without_answer; }
+  std::size_t without_answer() const { return state_store_.counters().without_answer; }
   // Direct commands that were held up.
   std::size_t commands_late() const { return commands_late_; }
   // Longest wait of a user for an acceptance, seconds.
   double slowest_acceptance() const { return slowest_acceptance_; }
   const std::set<std::string>& charters() const { return charters_; }
   void note(const std::string& line);
-  // From now on no trouble is made any more, and every rule holds that waits for that.
-  void troubles_over();
+  // From now on no fault is made any more, and every rule holds that waits for that.
+  void faults_over();
   static std::string all() { return "*"; }
 
  private:
-  class NodeRuntime;
-  struct Proc {
+  class ControllerRuntime;
+  struct ControllerProcess {
     std::string name;
     Settings settings;
-    std::unique_ptr<NodeRuntime> runtime;
+    std::unique_ptr<ControllerRuntime> runtime;
     std::unique_ptr<Controller> node;
     std::uint64_t life = 0;
     bool up = false;
@@ -213,34 +214,37 @@
     std::vector<std::function<void()>> unread;  // commands that came while it hung
   };
 
-  void schedule(Ms t, std::function<void()> f);
-  void deliver(const std::string& from, const std::string& to, std::function<void()> f,
+  void schedule(Ms when, std::function<void()> action);
+  void deliver(const std::string& from, const std::string& to, std::function<void()> action,
                std::function<void()> reset);
   const CutMode* cut_between(const std::string& a, const std::string& b) const;
-  void call(const std::string& from, HttpRequest r, Done done);
-  void arrive(const std::string& from, const std::string& to, const HttpRequest& r, Done back);
-  void arrive_at_node(std::size_t i, const std::string& from, const HttpRequest& r, Done back);
-  void serve_cloud(const HttpRequest& r, Done done);
+  void call(const std::string& from, HttpRequest request, Done done);
+  void arrive(const std::string& from, const std::string& to, const HttpRequest& request,
+              Done back);
+  void arrive_at_node(std::size_t i, const std::string& from, const HttpRequest& request,
+                      Done back);
+  void serve_cloud(const HttpRequest& request, Done done);
   void list_machines(const std::string& path, const Done& done) const;
-  void serve_worker(Worker& w, const HttpRequest& r, Done done);
+  void serve_worker(Worker& worker, const HttpRequest& request, Done done);
   double chance();
   void look_for_room();
   void check_may_act(const Controller& node, const std::string& heartbeat);
   void start_node(std::size_t i);
   void observe_versions();
-  void when_awake(std::size_t i, std::function<void()> f);
+  void when_awake(std::size_t i, std::function<void()> action);
   void tick_workers();
-  void send_heartbeat(Worker& w);
-  void take_answer(Worker& w, Ms sent, std::uint64_t incarnation, const HttpReply& r, int node);
-  void obey(Worker& w, const std::string& body);
-  void raise_token(Worker& w, std::uint64_t token);
-  void hold_command(Worker& w, const HttpRequest& r);
-  static bool on_machine(const Task& t);
-  void kill_task(Worker& w, const TaskKey& key, Task& t, double grace_s);
-  void end_task(Worker& w, const TaskKey& key, Task& t, const std::string& exit_reason);
-  void end_lease(Worker& w);
-  void lose(Worker& w, const char* why);
-  std::string heartbeat_body(Worker& w);
+  void send_heartbeat(Worker& worker);
+  void take_answer(Worker& worker, Ms sent, std::uint64_t incarnation, const HttpReply& reply,
+                   int node);
+  void obey(Worker& worker, const std::string& body);
+  void raise_token(Worker& worker, std::uint64_t token);
+  void hold_command(Worker& worker, const HttpRequest& request);
+  static bool on_machine(const Task& task);
+  void kill_task(Worker& worker, const TaskKey& key, Task& task, double grace_s);
+  void end_task(Worker& worker, const TaskKey& key, Task& task, const std::string& exit_reason);
+  void end_lease(Worker& worker);
+  void lose(Worker& worker, const char* why);
+  std::string heartbeat_body(Worker& worker);
   Worker& add_worker(const std::string& zone, bool spot, double boot_s);
   void try_submit(const JobSpec& spec, double until);
   void try_cancel(const std::string& id, int n);
@@ -250,14 +254,14 @@
   int pick_node();
   Ms latency();
 
-  Options o_;
-  Checker checker_;
+  Options options_;
+  RuleChecker checker_;
   VersionChecker version_checker_;
   Ms now_ = 0;
   std::uint64_t order_ = 0;
   std::map<std::pair<Ms, std::uint64_t>, std::function<void()>> events_;
   std::mt19937_64 random_;
-  std::vector<Proc> procs_;
+  std::vector<ControllerProcess> controllers_;
   std::vector<std::string> trace_;
   // network
   struct Cut {
@@ -266,11 +270,11 @@
   };
   struct Held {
     std::string from, to;
-    std::function<void()> f;
+    std::function<void()> deliver;
   };
   std::vector<Cut> cuts_;
   std::vector<Held> held_;
-  StateService state_service_;
+  SimulatedStateStore state_store_;
   std::set<std::string> deaf_, mute_;
   Delays late_commands_;
   std::size_t commands_late_ = 0;
@@ -290,10 +294,10 @@
   std::map<std::string, JobSpec> specs_;
   std::map<std::string, double> run_s_;
   std::map<std::string, std::vector<double>> runs_;
-  std::map<std::string, std::string> told_;
+  std::map<std::string, std::string> last_phases_;
   std::map<std::string, int> asking_;  // questions and cancellations of a job on their way
   std::set<std::string> failing_jobs_;
-  std::map<int, std::size_t> odd_;
+  std::map<int, std::size_t> invalid_answers_;
   int next_node_ = 0;
 };
 
--- a/tests/standin/simulated_cluster_cloud.cc
+++ b/tests/standin/simulated_cluster_cloud.cc
@@ -1,8 +1,8 @@
-// The cloud of the simulated world: catalog, rentals, returns and the list.
+// The cloud of the simulated cluster: catalog, rentals, returns and the list.
 #include <rapidjson/document.h>
 
-#include "standin/text.h"
 #include "standin/simulated_cluster.h"
+#include "standin/text.h"
 
 namespace eiderreel::standin {
 
@@ -12,82 +12,83 @@
 constexpr std::size_t kPageMost = 500;  // machines in one answer
 }
 
-World::Worker& World::add_worker(const std::string& zone, bool spot, double boot_s) {
-  auto w = std::make_unique<Worker>();
+SimulatedCluster::Worker& SimulatedCluster::add_worker(const std::string& zone, bool spot,
+                                                       double boot_s) {
+  auto worker = std::make_unique<Worker>();
   char id[16];
   std::snprintf(id, sizeof id, "m-%06llu", static_cast<unsigned long long>(next_machine_++));
-  w->id = id;
-  w->addr = o_.worker_address ? o_.worker_address(id) : std::string("w-") + id;
-  w->zone = zone;
-  w->spot = spot;
-  w->rented_at = now();
-  w->up_at = stuck_boots_ ? 1e9 : now() + boot_s;
-  w->node = static_cast<int>(next_machine_ % static_cast<std::uint64_t>(o_.nodes));
-  return *(workers_[id] = std::move(w));
+  worker->id = id;
+  worker->addr = options_.worker_address ? options_.worker_address(id) : std::string("w-") + id;
+  worker->zone = zone;
+  worker->spot = spot;
+  worker->rented_at = now();
+  worker->up_at = stuck_boots_ ? 1e9 : now() + boot_s;
+  worker->node = static_cast<int>(next_machine_ % static_cast<std::uint64_t>(options_.nodes));
+  return *(workers_[id] = std::move(worker));
 }
 
-void World::serve_cloud(const HttpRequest& r, Done done) {
+void SimulatedCluster::serve_cloud(const HttpRequest& request, Done done) {
   if (cloud_down_) return done({503, error_text("trouble")});
-  if (r.path == "/catalog")
+  if (request.path == "/catalog")
     return done({200,
                  "{\"hulls\":[{\"name\":\"box\",\"cores\":8.0,\"accelerators\":0,\"mem_gb\":64.0,"
                  "\"cache_gb\":50.0,\"fetch_gb_per_s\":1.0,\"price\":1.0,\"market_price\":0.4,"
                  "\"ready_s\":6.0,\"berths\":[\"a\",\"b\"]}]}"});
-  if (r.path == "/machines") {
-    Document d;
-    d.Parse(r.body.c_str());
-    const std::string charter = d["charter"].GetString();
-    const std::string zone = d["berth"].GetString();
-    const bool spot = d["driftwood"].GetBool();
+  if (request.path == "/machines") {
+    Document document;
+    document.Parse(request.body.c_str());
+    const std::string charter = document["charter"].GetString();
+    const std::string zone = document["berth"].GetString();
+    const bool spot = document["driftwood"].GetBool();
     auto known = charter_answers_.find(charter);
     if (known == charter_answers_.end()) {
       charters_.insert(charter);
       int here = 0;
-      for (const auto& [id, w] : workers_)
-        if (w->zone == zone && w->spot == spot && !w->gone) ++here;
-      const int base = spot ? 0 : (o_.machines + 1) / 2;
-      int room = no_capacity_ ? 0 : base + o_.capacity - here;
+      for (const auto& [id, worker] : workers_)
+        if (worker->zone == zone && worker->spot == spot && !worker->gone) ++here;
+      const int base = spot ? 0 : (options_.machines + 1) / 2;
+      int room = no_capacity_ ? 0 : base + options_.capacity - here;
       if (room <= 0) return done({503, error_text("no capacity")});
       std::vector<std::string> ids;
-      for (int n = d["how_many"].GetInt(); n > 0 && room > 0; --n, --room)
-        ids.push_back(add_worker(zone, spot, o_.boot_s).id);
+      for (int n = document["how_many"].GetInt(); n > 0 && room > 0; --n, --room)
+        ids.push_back(add_worker(zone, spot, options_.boot_s).id);
       known = charter_answers_.emplace(charter, ids).first;
     }
     std::string ids;
     for (const auto& id : known->second) ids += (ids.empty() ? "\"" : ",\"") + id + "\"";
     return done({200, "{\"hosts\":[" + ids + "]}"});
   }
-  if (r.path == "/machines/return") {
-    Document d;
-    d.Parse(r.body.c_str());
-    for (const auto& id : d["hosts"].GetArray())
+  if (request.path == "/machines/return") {
+    Document document;
+    document.Parse(request.body.c_str());
+    for (const auto& id : document["hosts"].GetArray())
       if (auto it = workers_.find(id.GetString()); it != workers_.end() && !it->second->gone)
         lose(*it->second, "returned");
     return done({200, "{}"});
   }
-  list_machines(r.path, done);
+  list_machines(request.path, done);
 }
 
 // A page of the machines, in the order of their names.
-void World::list_machines(const std::string& path, const Done& done) const {
+void SimulatedCluster::list_machines(const std::string& path, const Done& done) const {
   const std::string since = query_parameter(path, "since");
   const std::string page = query_parameter(path, "page");
   std::size_t room = page.empty() ? kPageMost : std::min(kPageMost, std::stoul(page));
   std::string rows;
   bool more = false;
   for (auto it = workers_.upper_bound(since); it != workers_.end(); ++it) {
-    const Worker& w = *it->second;
-    if (w.gone) continue;
+    const Worker& worker = *it->second;
+    if (worker.gone) continue;
     if (room-- == 0) {
       more = true;
       break;
     }
-    const char* phase = w.stopped ? "failed" : w.up ? "running" : "starting";
+    const char* phase = worker.stopped ? "failed" : worker.up ? "running" : "starting";
     rows += (rows.empty() ? "" : ",") +
-            ("{\"name_id\":\"" + w.id + "\",\"endpoint\":\"" + w.addr +
-             "\",\"hull\":\"box\",\"berth\":\"" + w.zone +
-             "\",\"driftwood\":" + (w.spot ? "true" : "false") + ",\"phase\":\"" + phase +
-             "\",\"held_s\":" + std::to_string(now() - w.rented_at) + "}");
+            ("{\"name_id\":\"" + worker.id + "\",\"endpoint\":\"" + worker.addr +
+             "\",\"hull\":\"box\",\"berth\":\"" + worker.zone +
+             "\",\"driftwood\":" + (worker.spot ? "true" : "false") + ",\"phase\":\"" + phase +
+             "\",\"held_s\":" + std::to_string(now() - worker.rented_at) + "}");
   }
   done({200, "{\"hosts\":[" + rows + "],\"more\":" + (more ? "true" : "false") + "}"});
 }
--- a/tests/standin/simulated_state_store.cc
+++ b/tests/standin/simulated_state_store.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void StateService::serve(const std::string& from, const HttpRequest& request, Done answer) {
+void SimulatedStateStore::serve(const std::string& from, const HttpRequest& request, Done answer) {
   const std::string& path = request.path;
   Done done = answer;
   if (slowest_ > 0 && !has_prefix(path, "/follow"))
@@ -40,44 +40,44 @@
   serve_read(path.substr(4), done);
 }
 
-const std::string* StateService::value(const std::string& key) const {
+const std::string* SimulatedStateStore::value(const std::string& key) const {
   const auto row = rows_.find(key);
   return row == rows_.end() ? nullptr : &row->second.value;
 }
 
-std::size_t StateService::keys_under(const std::string& prefix) const {
+std::size_t SimulatedStateStore::keys_under(const std::string& prefix) const {
   return static_cast<std::size_t>(std::count_if(
       rows_.begin(), rows_.end(), [&](const auto& row) { return has_prefix(row.first, prefix); }));
 }
 
-std::vector<std::string> StateService::keys(const std::string& prefix) const {
+std::vector<std::string> SimulatedStateStore::keys(const std::string& prefix) const {
   std::vector<std::string> out;
   for (const auto& [key, row] : rows_)
     if (has_prefix(key, prefix)) out.push_back(key);
   return out;
 }
 
-void StateService::put(const std::string& key, const std::string& value) {
+void SimulatedStateStore::put(const std::string& key, const std::string& value) {
   ++revision_;
   change(key, &value, 0);
   wake_watches();
 }
 
-void StateService::set_limits(double value_kb, int txn_ops, double write_rps) {
+void SimulatedStateStore::set_limits(double value_kb, int txn_ops, double write_rps) {
   limits_.value_kb = value_kb;
   limits_.txn_ops = txn_ops;
   limits_.write_rps = write_rps;
   limits_.enforced = true;
 }
 
-void StateService::set_outage(bool on) {
+void SimulatedStateStore::set_outage(bool on) {
   outage_ = on;
   if (on) return;
   for (auto& [id, lease] : leases_)
     lease.ends = environment_.now() + lease.life;  // every lease has its full time again
 }
 
-void StateService::set_refused(const std::string& node, bool on) {
+void SimulatedStateStore::set_refused(const std::string& node, bool on) {
   if (on)
     refused_.insert(node);
   else
@@ -87,7 +87,7 @@
 
 // ------------------------------------------------------------------------------- leases
 
-void StateService::end_leases() {
+void SimulatedStateStore::end_leases() {
   if (outage_) return;
   for (auto it = leases_.begin(); it != leases_.end();) {
     if (it->second.ends > environment_.now()) {
@@ -105,15 +105,15 @@
   wake_watches();
 }
 
-void StateService::serve_new_lease(const std::string& body, const Done& done) {
-  Document d;
-  d.Parse(body.c_str());
-  const Ms life = d["life_ms"].GetInt64();
+void SimulatedStateStore::serve_new_lease(const std::string& body, const Done& done) {
+  Document document;
+  document.Parse(body.c_str());
+  const Ms life = document["life_ms"].GetInt64();
   leases_[++next_lease_] = {life, environment_.now() + life};
   done({200, lease_text(next_lease_)});
 }
 
-void StateService::serve_lease(const HttpRequest& request, const Done& done) {
+void SimulatedStateStore::serve_lease(const HttpRequest& request, const Done& done) {
   const std::uint64_t id = std::stoull(request.path.substr(8));
   auto lease = leases_.find(id);
   if (lease == leases_.end()) return done({404, "{}"});
@@ -125,7 +125,8 @@
 
 // ------------------------------------------------------------------------- transactions
 
-void StateService::change(const std::string& key, const std::string* value, std::uint64_t lease) {
+void SimulatedStateStore::change(const std::string& key, const std::string* value,
+                                 std::uint64_t lease) {
   if (value)
     rows_[key] = {*value, revision_, lease};
   else
@@ -133,26 +134,26 @@
   changes_.push_back({revision_, key, value ? *value : "", value == nullptr});
 }
 
-HttpReply StateService::commit(const std::string& body) {
-  Document d;
-  d.Parse(body.c_str());
+HttpReply SimulatedStateStore::commit(const std::string& body) {
+  Document document;
+  document.Parse(body.c_str());
   std::string failed;
-  for (const auto& guard : d["guards"].GetArray()) {
+  for (const auto& guard : document["guards"].GetArray()) {
     const auto row = rows_.find(guard["key"].GetString());
     const std::uint64_t revision = row == rows_.end() ? 0 : row->second.revision;
     if (revision == guard["stamp"].GetUint64()) continue;
     failed += (failed.empty() ? "\"" : ",\"") + std::string(guard["key"].GetString()) + "\"";
   }
-  for (const auto& write : d["writes"].GetArray())
+  for (const auto& write : document["writes"].GetArray())
     if (write.HasMember("tether") && !leases_.count(write["tether"].GetUint64()))
       return {400, error_text("no such lease")};
   if (!failed.empty())
     return {409, "{\"failed\":[" + failed + "]," + revision_text(revision_) + "}"};
   ++revision_;
-  for (const auto& write : d["writes"].GetArray())
+  for (const auto& write : document["writes"].GetArray())
     if (observer_.written && write.HasMember("write"))
       observer_.written(write["write"].GetString(), json_text(write["v"]));
-  for (const auto& write : d["writes"].GetArray()) {
+  for (const auto& write : document["writes"].GetArray()) {
     if (write.HasMember("delete")) {
       const std::string key = write["delete"].GetString();
       if (rows_.count(key)) change(key, nullptr, 0);
@@ -169,14 +170,14 @@
 }
 
 // An outage does not end what is on its way: it lands once the state store is back.
-void StateService::commit_later(Ms t, const std::string& body) {
-  environment_.at(t, [this, body] {
+void SimulatedStateStore::commit_later(Ms when, const std::string& body) {
+  environment_.at(when, [this, body] {
     if (outage_) return commit_later(environment_.now() + kOutageRetry, body);
     counters_.landed_late += commit(body).status == 200;
   });
 }
 
-bool StateService::take_write_tokens(double writes) {
+bool SimulatedStateStore::take_write_tokens(double writes) {
   const Ms now = environment_.now();
   const double refill = static_cast<double>(now - refilled_) / 1000 * limits_.write_rps;
   write_tokens_ = std::min(limits_.write_rps, write_tokens_ + refill);
@@ -186,12 +187,13 @@
   return true;
 }
 
-bool StateService::is_too_large(const std::string& body) const {
-  Document d;
-  d.Parse(body.c_str());
-  const auto& writes = d["writes"].GetArray();
+bool SimulatedStateStore::is_too_large(const std::string& body) const {
+  Document document;
+  document.Parse(body.c_str());
+  const auto& writes = document["writes"].GetArray();
   const auto most = static_cast<std::size_t>(limits_.txn_ops);
-  if (writes.Size() > most || d["guards"].GetArray().Size() > 4 * most || body.size() > 65536)
+  if (writes.Size() > most || document["guards"].GetArray().Size() > 4 * most ||
+      body.size() > 65536)
     return true;
   return std::any_of(writes.begin(), writes.end(), [&](const auto& write) {
     return write.HasMember("v") &&
@@ -199,14 +201,14 @@
   });
 }
 
-void StateService::serve_commit(const std::string& body, const Done& done) {
-  Document d;
-  d.Parse(body.c_str());
+void SimulatedStateStore::serve_commit(const std::string& body, const Done& done) {
+  Document document;
+  document.Parse(body.c_str());
   if (is_too_large(body)) {
     ++counters_.too_large;
     return done({400, error_text("too large")});
   }
-  if (!take_write_tokens(d["writes"].GetArray().Size())) {
+  if (!take_write_tokens(document["writes"].GetArray().Size())) {
     ++counters_.over_limit;
     return done({429, "{}"});
   }
@@ -220,20 +222,20 @@
 
 // -------------------------------------------------------------------- watches and reads
 
-HttpReply StateService::changes_since(const std::string& prefix, std::uint64_t since) const {
+HttpReply SimulatedStateStore::changes_since(const std::string& prefix, std::uint64_t since) const {
   std::string events;
-  for (const Change& c : changes_) {
-    if (c.revision <= since || !has_prefix(c.key, prefix)) continue;
+  for (const Change& change : changes_) {
+    if (change.revision <= since || !has_prefix(change.key, prefix)) continue;
     if (!events.empty()) events += ",";
-    const std::string revision = ",\"stamp\":" + std::to_string(c.revision) + "}";
-    events += c.deleted ? "{\"delete\":\"" + c.key + "\"" + revision
-                        : "{\"write\":\"" + c.key + "\",\"v\":" + c.value + revision;
+    const std::string revision = ",\"stamp\":" + std::to_string(change.revision) + "}";
+    events += change.deleted ? "{\"delete\":\"" + change.key + "\"" + revision
+                             : "{\"write\":\"" + change.key + "\",\"v\":" + change.value + revision;
   }
   if (events.empty()) return {};
   return {200, "{" + revision_text(revision_) + ",\"events\":[" + events + "]}"};
 }
 
-void StateService::wake_watches() {
+void SimulatedStateStore::wake_watches() {
   std::erase_if(watches_, [](const auto& watch) { return watch->answered; });
   for (auto& watch : std::vector(watches_)) {
     if (is_down_for(watch->from)) continue;
@@ -244,7 +246,8 @@
   }
 }
 
-void StateService::serve_watch(const std::string& from, const std::string& path, const Done& done) {
+void SimulatedStateStore::serve_watch(const std::string& from, const std::string& path,
+                                      const Done& done) {
   auto watch = std::make_shared<Watch>();
   watch->from = from;
   watch->prefix = query_parameter(path, "prefix");
@@ -265,7 +268,7 @@
   });
 }
 
-void StateService::serve_list(const std::string& path, const Done& done) const {
+void SimulatedStateStore::serve_list(const std::string& path, const Done& done) const {
   const std::string prefix = query_parameter(path, "prefix");
   const std::string since = query_parameter(path, "since");
   std::size_t page = std::stoul(query_parameter(path, "page"));
@@ -285,7 +288,7 @@
                  revision_text(revision_) + "}"});
 }
 
-void StateService::serve_read(const std::string& key, const Done& done) const {
+void SimulatedStateStore::serve_read(const std::string& key, const Done& done) const {
   const auto row = rows_.find(key);
   if (row == rows_.end()) return done({404, "{" + revision_text(revision_) + "}"});
   done({200, "{\"key\":\"" + key + "\",\"v\":" + row->second.value +
--- a/tests/standin/simulated_state_store.h
+++ b/tests/standin/simulated_state_store.h
@@ -1,5 +1,5 @@
-// The state store of the simulated world: keys with revisions, leases, transactions and watches,
-// as the protocol has them, and the troubles it can have.
+// The state store of the simulated cluster: keys with revisions, leases, transactions and watches,
+// as the protocol has them, and the faults it can have.
 #pragma once
 #include <functional>
 #include <map>
@@ -22,7 +22,7 @@
   }
 };
 
-class StateService {
+class SimulatedStateStore {
  public:
   using Done = std::function<void(HttpReply)>;
   struct Environment {
@@ -44,7 +44,7 @@
     std::size_t too_large = 0;       // values or transactions over the limits
   };
 
-  StateService(Environment environment, Limits limits)
+  SimulatedStateStore(Environment environment, Limits limits)
       : environment_(std::move(environment)), limits_(limits) {}
 
   // Is told of every value before it is written, and of the end of each transaction.
@@ -102,7 +102,7 @@
   bool take_write_tokens(double writes);
   bool is_too_large(const std::string& body) const;
   HttpReply commit(const std::string& body);
-  void commit_later(Ms t, const std::string& body);
+  void commit_later(Ms when, const std::string& body);
   void change(const std::string& key, const std::string* value, std::uint64_t lease);
   HttpReply changes_since(const std::string& prefix, std::uint64_t since) const;
   void wake_watches();
--- a/tests/standin/version_checker.cc
+++ b/tests/standin/version_checker.cc
@@ -18,10 +18,10 @@
 
 // Every value begins with the nonce of its commit: node, boot id and a counter.
 Writer writer_of(const std::string& value) {
-  Document d;
-  d.Parse(value.c_str());
-  if (!d.IsObject() || !d.HasMember("n")) return {};
-  const std::string nonce = d["n"].GetString();
+  Document document;
+  document.Parse(value.c_str());
+  if (!document.IsObject() || !document.HasMember("n")) return {};
+  const std::string nonce = document["n"].GetString();
   const auto boot = nonce.rfind('.');
   const auto node = nonce.rfind('.', boot - 1);
   return {nonce.substr(0, node), nonce.substr(node + 1, boot - node - 1)};
@@ -30,16 +30,18 @@
 // A number in a value; 0: there is none.
 std::uint64_t number_in(const std::string* value, const char* name) {
   if (!value) return 0;
-  Document d;
-  d.Parse(value->c_str());
-  return d.IsObject() && d.HasMember(name) && d[name].IsUint64() ? d[name].GetUint64() : 0;
+  Document document;
+  document.Parse(value->c_str());
+  return document.IsObject() && document.HasMember(name) && document[name].IsUint64()
+             ? document[name].GetUint64()
+             : 0;
 }
 
 std::string boot_in(const std::string* record) {
   if (!record) return "";
-  Document d;
-  d.Parse(record->c_str());
-  return d["boot"].GetString();
+  Document document;
+  document.Parse(record->c_str());
+  return document["boot"].GetString();
 }
 
 }  // namespace
@@ -62,13 +64,13 @@
   const std::string* record = rows("e/node/" + writer.node);
   const std::uint64_t acting = number_in(record, "acting");
   if (acting == 0 || boot_in(record) != writer.boot)
-    return broke_(writer.node + " writes " + key + " without a record");
+    return on_violation_(writer.node + " writes " + key + " without a record");
   if (!has_prefix(key, "d/")) return;
   const bool compact = number_in(&value, "form") == 2;
   ++progress_written_[compact];
   if (compact != (acting >= 2))
-    broke_(writer.node + " writes " + key + (compact ? " compact" : " as bits") +
-           " under version " + std::to_string(acting));
+    on_violation_(writer.node + " writes " + key + (compact ? " compact" : " as bits") +
+                  " under version " + std::to_string(acting));
 }
 
 void VersionChecker::look(const Rows& rows) {
@@ -85,7 +87,7 @@
     most = std::max(most, acting);
   }
   if (most - least > 1)
-    broke_("versions from " + std::to_string(least) + " to " + std::to_string(most));
+    on_violation_("versions from " + std::to_string(least) + " to " + std::to_string(most));
 }
 
 }  // namespace eiderreel::standin
--- a/tests/standin/version_checker.h
+++ b/tests/standin/version_checker.h
@@ -11,9 +11,9 @@
 
 class VersionChecker {
  public:
-  using Broke = std::function<void(const std::string& what)>;
+  using OnViolation = std::function<void(const std::string& what)>;
   using Rows = std::function<const std::string*(const std::string& key)>;
-  explicit VersionChecker(Broke broke) : broke_(std::move(broke)) {}
+  explicit VersionChecker(OnViolation violated) : on_violation_(std::move(violated)) {}
 
   // A value has been written; `rows` looks keys up in the state as it was just before.
   void written(const std::string& key, const std::string& value, const Rows& rows);
@@ -28,7 +28,7 @@
   void take_record(const std::string& key, const std::string& value);
   void check_writer(const std::string& key, const std::string& value, const Rows& rows);
 
-  Broke broke_;
+  OnViolation on_violation_;
   // Node and boot id of the processes that take part in cluster versions, by their records.
   std::set<std::pair<std::string, std::string>> boots_;
   std::size_t progress_written_[2] = {0, 0};
--- a/tests/stored_messages_test.cc
+++ b/tests/stored_messages_test.cc
@@ -55,7 +55,7 @@
   return frames;
 }
 
-TEST(StoredStateMessages, AreReadAndWrittenAgain) {
+TEST(StoredStateMessages, RoundTrip) {
   const auto frames = read_frames();
   EXPECT_EQ(frames.size(), peer_messages().size());
   for (const auto& [kind, expected] : peer_messages()) {
--- a/tests/stored_state_resumed_test.cc
+++ b/tests/stored_state_resumed_test.cc
@@ -18,14 +18,14 @@
   return id == "run-101" || id == long_ids().back();
 }
 constexpr double kPrerequisiteS = 40, kBeforeItEndsS = 35;
-constexpr double kSubmittedS = 2;  // no partition has an leader yet
-constexpr double kClaimedS = 3.9;  // all partitions have an leader; no machine has moved yet
+constexpr double kSubmittedS = 2;  // no partition has a leader yet
+constexpr double kClaimedS = 3.9;  // all partitions have a leader; no machine has moved yet
 constexpr double kAllOverS = 120;
 
 // A cluster that starts on the stored state; what is bound to a lease is gone by then.
-class ResumedDay : public UpgradeWorld {
+class ResumedDay : public UpgradeCluster {
  public:
-  ResumedDay() : UpgradeWorld(options()) {
+  ResumedDay() : UpgradeCluster(resumed_day_options()) {
     for (const auto& [key, value] : read_stored_values(kStoredValuesFile))
       if (!has_prefix(key, "e/part/") && !has_prefix(key, "e/node/")) store(key, value);
     for (const auto& day : {jobs_of_first_day(), jobs_of_second_day()})
@@ -65,10 +65,10 @@
   }
 
  private:
-  static Options options() {
-    Options o = stored_day_options();
-    o.upgrades = enabled_upgrades();
-    return o;
+  static Options resumed_day_options() {
+    Options options = stored_day_options();
+    options.upgrades = enabled_upgrades();
+    return options;
   }
   // Users repeat their submissions, so that the workers know the jobs. A task that is recorded as
   // done would never end.
@@ -87,94 +87,95 @@
   std::vector<StoredJob> open_;
 };
 
-class StoredStateGoesOn : public testing::Test {
+class StoredStateResumed : public testing::Test {
  protected:
   void end_of_day() {
-    w_.run_until(kAllOverS);
-    for (const auto& id : {stored_service().id, every_field_set().id}) w_.cancel(id);
-    for (const auto& id : {done_job().id, cancelled_job().id}) w_.poll(id);
-    w_.run_until(kAllOverS + 20);
-    expect_rules_kept(w_);
+    cluster_.run_until(kAllOverS);
+    for (const auto& id : {stored_service().id, every_field_set().id}) cluster_.cancel(id);
+    for (const auto& id : {done_job().id, cancelled_job().id}) cluster_.poll(id);
+    cluster_.run_until(kAllOverS + 20);
+    expect_rules_kept(cluster_);
   }
 
-  ResumedDay w_;
+  ResumedDay cluster_;
 };
 
-TEST_F(StoredStateGoesOn, OpenJobsAreKnown) {
+TEST_F(StoredStateResumed, OpenJobsAreRecovered) {
   std::vector<int> submissions, polls;  // statuses of their answers
-  for (const StoredJob& job : w_.open_jobs()) {
-    w_.at(kSubmittedS / 2, [&] {
-      w_.raw(0, "POST", "/v1/jobs", submission_text(job.spec),
-             [&](int status, const std::string&) { submissions.push_back(status); });
+  for (const StoredJob& job : cluster_.open_jobs()) {
+    cluster_.at(kSubmittedS / 2, [&] {
+      cluster_.raw(0, "POST", "/v1/jobs", submission_text(job.spec),
+                   [&](int status, const std::string&) { submissions.push_back(status); });
     });
-    w_.at(kClaimedS, [&] {
-      w_.poll_once(0, job.spec.id,
-                   [&](int status, const std::string&) { polls.push_back(status); });
+    cluster_.at(kClaimedS, [&] {
+      cluster_.poll_once(0, job.spec.id,
+                         [&](int status, const std::string&) { polls.push_back(status); });
     });
   }
-  w_.run_until(kClaimedS + 1);
-  const std::vector<int> all_known(w_.open_jobs().size(), 200);  // 201: accepted anew
+  cluster_.run_until(kClaimedS + 1);
+  const std::vector<int> all_known(cluster_.open_jobs().size(), 200);  // 201: accepted anew
   EXPECT_EQ(submissions, all_known);
   EXPECT_EQ(polls, all_known);
 }
 
-TEST_F(StoredStateGoesOn, OnlyTheMissingTasksOfOpenJobsRun) {
+TEST_F(StoredStateResumed, OnlyUnfinishedTasksOfOpenJobsRun) {
   end_of_day();
-  const auto started = w_.started();
-  for (const StoredJob& job : w_.open_jobs()) {
+  const auto started = cluster_.started();
+  for (const StoredJob& job : cluster_.open_jobs()) {
     const std::string& id = job.spec.id;
     const std::set<std::uint32_t> done(job.done.begin(), job.done.end());
     const auto missing =
         tasks_where(job.spec.tasks, [&](std::uint32_t task) { return done.count(task) == 0; });
     ASSERT_TRUE(started.count(id)) << id;
     EXPECT_EQ(started.at(id), missing) << id;
-    EXPECT_EQ(w_.phase(id), job.spec.kind == JobKind::service ? "cancelled" : "done") << id;
+    EXPECT_EQ(cluster_.phase(id), job.spec.kind == JobKind::service ? "cancelled" : "done") << id;
   }
 }
 
-TEST_F(StoredStateGoesOn, WaitingJobsWaitForTheirPrerequisites) {
-  w_.run_until(kBeforeItEndsS);
+TEST_F(StoredStateResumed, BlockedJobsWaitForTheirPrerequisites) {
+  cluster_.run_until(kBeforeItEndsS);
   for (const std::string id : {"run-104", "run-105"}) {
-    EXPECT_EQ(w_.phase(id), "queued") << id;
-    EXPECT_FALSE(w_.started().count(id)) << id;
+    EXPECT_EQ(cluster_.phase(id), "queued") << id;
+    EXPECT_FALSE(cluster_.started().count(id)) << id;
   }
-  EXPECT_EQ(w_.phase("run-102"), "done");
-  EXPECT_EQ(w_.tasks_on(stored_service().id), stored_service().tasks);
+  EXPECT_EQ(cluster_.phase("run-102"), "done");
+  EXPECT_EQ(cluster_.tasks_on(stored_service().id), stored_service().tasks);
   end_of_day();
-  for (const std::string id : {"run-104", "run-105"}) EXPECT_EQ(w_.phase(id), "done") << id;
+  for (const std::string id : {"run-104", "run-105"}) EXPECT_EQ(cluster_.phase(id), "done") << id;
 }
 
-TEST_F(StoredStateGoesOn, EndsAreToldAndNothingOfTheJobsIsLeft) {
+TEST_F(StoredStateResumed, FinalPhasesAreReturnedAndJobKeysAreDeleted) {
   end_of_day();
-  EXPECT_EQ(w_.phase(done_job().id), "done");
-  EXPECT_EQ(w_.phase(cancelled_job().id), "cancelled");
-  EXPECT_EQ(w_.phase(every_field_set().id), "cancelled");  // it was known, and fitted nowhere
-  for (const char* prefix : {"e/job/", "e/awaits/", "d/"}) EXPECT_EQ(w_.keys_under(prefix), 0u);
+  EXPECT_EQ(cluster_.phase(done_job().id), "done");
+  EXPECT_EQ(cluster_.phase(cancelled_job().id), "cancelled");
+  EXPECT_EQ(cluster_.phase(every_field_set().id), "cancelled");  // it was known, and fitted nowhere
+  for (const char* prefix : {"e/job/", "e/awaits/", "d/"})
+    EXPECT_EQ(cluster_.keys_under(prefix), 0u);
 }
 
-TEST_F(StoredStateGoesOn, MachinesKeepTheirPartitionsAndTheReleasedOneIsReturned) {
-  w_.run_until(kClaimedS);
-  EXPECT_EQ(w_.machines_owned(), (std::map<std::string, int>{{machine(0), 0},
-                                                             {machine(1), 1},
-                                                             {machine(2), 0},
-                                                             {machine(3), 1},
-                                                             {machine(4), 0},
-                                                             {machine(5), 1},
-                                                             {machine(6), 2},
-                                                             {machine(7), 0},
-                                                             {kSpotMachine, 1}}));
-  EXPECT_EQ(w_.lines(std::string(kReleasedMachine) + " is returned"), 1u);
-  EXPECT_EQ(w_.stored(codec::machine_key(kReleasedMachine)), nullptr);
+TEST_F(StoredStateResumed, MachinesKeepTheirPartitionsAndTheReleasedOneIsReturned) {
+  cluster_.run_until(kClaimedS);
+  EXPECT_EQ(cluster_.machines_owned(), (std::map<std::string, int>{{machine(0), 0},
+                                                                   {machine(1), 1},
+                                                                   {machine(2), 0},
+                                                                   {machine(3), 1},
+                                                                   {machine(4), 0},
+                                                                   {machine(5), 1},
+                                                                   {machine(6), 2},
+                                                                   {machine(7), 0},
+                                                                   {kSpotMachine, 1}}));
+  EXPECT_EQ(cluster_.lines(std::string(kReleasedMachine) + " is returned"), 1u);
+  EXPECT_EQ(cluster_.stored(codec::machine_key(kReleasedMachine)), nullptr);
   end_of_day();
-  EXPECT_EQ(w_.stored(codec::machine_key(kSpotMachine)), nullptr);  // it was gone
+  EXPECT_EQ(cluster_.stored(codec::machine_key(kSpotMachine)), nullptr);  // it was gone
 }
 
-TEST_F(StoredStateGoesOn, ControllersActUnderTheStoredVersion) {
+TEST_F(StoredStateResumed, ControllersRunAtTheStoredClusterVersion) {
   end_of_day();
-  for (int node = 0; node < 3; ++node) EXPECT_EQ(w_.acting(node), 2u);
-  EXPECT_EQ(w_.cluster_version(), 2u);
-  EXPECT_EQ(w_.versions().progress_written(false), 0u);
-  EXPECT_GT(w_.versions().progress_written(true), 0u);
+  for (int node = 0; node < 3; ++node) EXPECT_EQ(cluster_.acting(node), 2u);
+  EXPECT_EQ(cluster_.cluster_version(), 2u);
+  EXPECT_EQ(cluster_.versions().progress_written(false), 0u);
+  EXPECT_GT(cluster_.versions().progress_written(true), 0u);
 }
 
 }  // namespace
--- a/tests/stored_state_test.cc
+++ b/tests/stored_state_test.cc
@@ -21,18 +21,21 @@
 
 const char kStoredValuesFile[] = EIDERREEL_SOURCE_DIR "/tests/fixtures/state_store.json";
 
-auto fields(const JobSpec& j) {
-  return std::tuple(
-      std::tie(j.id, j.jobclass, j.team, j.kind, j.priority, j.tasks, j.cpus, j.gpus, j.memory_gb),
-      std::tie(j.types, j.zone, j.one_zone, j.spread, j.spot, j.image, j.image_gb, j.estimate_s),
-      std::tie(j.checkpoint_s, j.save_s, j.deadline_s, j.accepted_at, j.prerequisites));
+auto fields(const JobSpec& spec) {
+  return std::tuple(std::tie(spec.id, spec.jobclass, spec.team, spec.kind, spec.priority,
+                             spec.tasks, spec.cpus, spec.gpus, spec.memory_gb),
+                    std::tie(spec.types, spec.zone, spec.one_zone, spec.spread, spec.spot,
+                             spec.image, spec.image_gb, spec.estimate_s),
+                    std::tie(spec.checkpoint_s, spec.save_s, spec.deadline_s, spec.accepted_at,
+                             spec.prerequisites));
 }
-auto fields(const codec::MachineRecord& m) {
-  return std::tie(m.partition, m.type, m.zone, m.addr, m.spot);
+auto fields(const codec::MachineRecord& record) {
+  return std::tie(record.partition, record.type, record.zone, record.addr, record.spot);
 }
-auto fields(const upgrade::StepRecord& s) {
-  return std::tie(s.at, s.who, s.reason, s.request, s.controller, s.action, s.from, s.to, s.outcome,
-                  s.without, s.obstacles);
+auto fields(const upgrade::StepRecord& record) {
+  return std::tie(record.at, record.who, record.reason, record.request, record.controller,
+                  record.action, record.from, record.to, record.outcome, record.without,
+                  record.obstacles);
 }
 
 // ------------------------------------------------------------------------------ stored values
@@ -280,7 +283,7 @@
   }
 }
 
-TEST(StoredState, EveryValueIsReadAndWrittenAgain) {
+TEST(StoredState, EveryValueRoundTrips) {
   StoredValueReader stored;
   for (const auto& day : {jobs_of_first_day(), jobs_of_second_day()})
     for (const StoredJob& job : day)
--- a/tests/upgrade/conversion_test.cc
+++ b/tests/upgrade/conversion_test.cc
@@ -29,7 +29,7 @@
   return row.value_or(codec::StateRow{});
 }
 
-TEST(CompactProgress, IsReadAsItWasWritten) {
+TEST(CompactProgress, RoundTrips) {
   for (const std::uint32_t first : {0u, 32768u}) {
     for (const double share : {0.0, 0.001, 0.3, 0.99, 1.0}) {
       const codec::TaskRange range{first, 32768};
@@ -44,7 +44,7 @@
 }
 
 // The form of the fewest bytes, and never more than bits beside the mark of the form.
-TEST(CompactProgress, KeepsBitsWhereTheseAreShorter) {
+TEST(CompactProgress, FallsBackToBitsWhereShorter) {
   for (const std::uint32_t count : {1u, 36u, 515u, 32768u}) {
     for (const double share : {0.01, 0.5, 1.0}) {
       const codec::TaskRange range{0, 32768};
@@ -59,7 +59,7 @@
   EXPECT_LT(codec::encode_done(all, {0, 32768}, ProgressForm::compact, "n").size(), 100u);
 }
 
-TEST(CompactProgress, MalformedValuesAreReadAsNeither) {
+TEST(CompactProgress, MalformedValuesAreRejected) {
   for (const char* value : {
            R"({"n":"n","chunk":0})",
            R"({"n":"n","chunk":0,"form":3,"bits":"Fg"})",
@@ -76,7 +76,7 @@
 }
 
 // A bitmap that was cut off is refused, or is one that a job may have.
-TEST(CompactProgress, BitmapsThatAreCutOffBreakNothing) {
+TEST(CompactProgress, TruncatedBitmapsAreHarmless) {
   const auto tasks = some_tasks(0, 30000, 0.2, 3);
   const std::string text = codec::pack_roaring(tasks, 0);
   std::size_t refused = 0;
@@ -193,7 +193,7 @@
   EXPECT_EQ(job.stored_tasks(), ended);
 }
 
-TEST(ProgressPlan, ConvertsThereAndBackAtAnySizeAndLosesNothing) {
+TEST(ProgressPlan, ConvertsBothWaysAtAnySizeWithoutLoss) {
   for (const std::size_t value_bytes : {1024u, 2048u, 8192u})
     for (const std::uint32_t tasks : {1u, 500u, 12000u})
       for (const double share : {0.05, 0.5, 1.0})
@@ -206,7 +206,7 @@
 
 // A long array ends about in the order of its tasks: one value of a few runs instead of a value for
 // each range.
-TEST(ProgressPlan, ALongArrayTakesFewerChangesInTheCompactForm) {
+TEST(ProgressPlan, CompactFormNeedsFewerChangesForALongArray) {
   std::size_t changes[2] = {0, 0};
   for (const auto form : {ProgressForm::bits, ProgressForm::compact}) {
     StoredJob job(20000, 1024);
@@ -221,7 +221,7 @@
 }
 
 // The one value for all tasks does not fit any more, and later it does again.
-TEST(ProgressPlan, AValueForAllTasksGivesWayToRangesAndBack) {
+TEST(ProgressPlan, SwitchesBetweenASingleValueAndRanges) {
   StoredJob job(30000, 1024);
   job.record({0, 1, 2, 3}, ProgressForm::compact, 16);
   EXPECT_EQ(job.values().size(), 1u);
@@ -235,7 +235,7 @@
   EXPECT_EQ(job.stored_tasks().size(), 30000u);
 }
 
-TEST(ProgressPlan, AnUnreadableValueIsLeftAsItIs) {
+TEST(ProgressPlan, UnreadableValueIsLeftUnchanged) {
   for (const auto form : {ProgressForm::bits, ProgressForm::compact}) {
     StoredJob job(600, 8192);
     job.put_unreadable("d/0/run-1/0");
@@ -245,7 +245,7 @@
   }
 }
 
-TEST(ConversionPace, KeepsToItsShare) {
+TEST(ConversionRate, KeepsToItsShare) {
   upgrade::ConversionRateLimiter rate_limiter(2);
   std::size_t changes = 0;
   for (Ms now = 1000; now < 101000; now += 50)
@@ -261,104 +261,106 @@
 
 class Conversion : public testing::TestWithParam<std::uint64_t> {
  protected:
-  Options options() const {
-    Options o = upgrade_options(GetParam());
-    o.state_write_rps = 30;
-    return o;
+  Options seeded_options() const {
+    Options options = upgrade_options(GetParam());
+    options.state_write_rps = 30;
+    return options;
   }
   // Many arrays that last, with some of their tasks done early.
-  static void submit_lasting(World& w, int jobs) {
+  static void submit_lasting(SimulatedCluster& cluster, int jobs) {
     for (int n = 0; n < jobs; ++n) {
       const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(n % 3)];
-      w.at(3 + 0.2 * n, [&w, n, team] {
+      cluster.at(3 + 0.2 * n, [&cluster, n, team] {
         const std::string id = "run-" + std::to_string(n);
-        w.submit(w.job(id, team, 4, 0.2, 60));
-        w.set_run_s(id, {2, 3, 75, 80});
+        cluster.submit(cluster.job(id, team, 4, 0.2, 60));
+        cluster.set_run_s(id, {2, 3, 75, 80});
       });
     }
   }
-  static void expect_all_done(World& w, int jobs) {
-    for (int n = 0; n < jobs; ++n) EXPECT_EQ(w.phase("run-" + std::to_string(n)), "done") << n;
+  static void expect_all_done(SimulatedCluster& cluster, int jobs) {
+    for (int n = 0; n < jobs; ++n)
+      EXPECT_EQ(cluster.phase("run-" + std::to_string(n)), "done") << n;
   }
 };
 
-TEST_P(Conversion, RewritesWhatIsStoredWithinItsShareAndTellsWhatIsLeft) {
-  Options o = options();
-  o.upgrades->conversion_share = 0.1;
-  UpgradeWorld w(o);
-  submit_lasting(w, 45);
-  w.advance_to(30, ClusterVersion::convert);
+TEST_P(Conversion, RewritesStoredValuesWithinItsShareAndShowsWhatIsLeft) {
+  Options options = seeded_options();
+  options.upgrades->conversion_share = 0.1;
+  UpgradeCluster cluster(options);
+  submit_lasting(cluster, 45);
+  cluster.advance_to(30, ClusterVersion::convert);
   std::size_t left_at_first = 0;
-  Told status;
-  w.at(36, [&] { left_at_first = w.progress_in_bits(); });
-  w.at(46, [&] {
-    EXPECT_GT(w.progress_in_bits(), 0u) << "it is spread over time";
-    EXPECT_LT(w.progress_in_bits(), left_at_first);
-    w.raw(1, "GET", "/upgrade/status", "", [&](int s, std::string body) {
-      status = {s, std::move(body)};
+  OperatorReply status;
+  cluster.at(36, [&] { left_at_first = cluster.progress_in_bits(); });
+  cluster.at(46, [&] {
+    EXPECT_GT(cluster.progress_in_bits(), 0u) << "it is spread over time";
+    EXPECT_LT(cluster.progress_in_bits(), left_at_first);
+    cluster.raw(1, "GET", "/upgrade/status", "", [&](int code, std::string body) {
+      status = {code, std::move(body)};
     });
-    w.ask_now(0, Action::finalize);
+    cluster.ask_now(0, Action::finalize);
   });
-  w.run_until(70);
+  cluster.run_until(70);
   EXPECT_GT(left_at_first, 30u);
-  EXPECT_EQ(w.progress_in_bits(), 0u);
+  EXPECT_EQ(cluster.progress_in_bits(), 0u);
   ASSERT_EQ(status.status, 200);
   EXPECT_TRUE(status.has("\"to\":\"compact\""));
   EXPECT_TRUE(status.has("\"unknown_partitions\":[]"));
   EXPECT_FALSE(status.has("\"left\":0,"));
-  EXPECT_TRUE(w.told().back().has("still stored as bits")) << w.told().back().body;
-  w.ask_now(0, Action::finalize);
-  w.run_until(160);
-  EXPECT_EQ(w.cluster_version(), 4u);
-  expect_all_done(w, 45);
-  expect_rules_kept(w);
+  EXPECT_TRUE(cluster.replies().back().has("still stored as bits"))
+      << cluster.replies().back().body;
+  cluster.ask_now(0, Action::finalize);
+  cluster.run_until(160);
+  EXPECT_EQ(cluster.cluster_version(), 4u);
+  expect_all_done(cluster, 45);
+  expect_rules_kept(cluster);
 }
 
 // Its leaders fail, its jobs end and are cancelled, all while it goes on.
-TEST_P(Conversion, GoesOnThroughTakeoversEndsAndCancellations) {
-  UpgradeWorld w(options());
-  submit_lasting(w, 30);
-  submit_arrays(w, 5, 70, 2);
-  w.advance_to(30, ClusterVersion::convert);
+TEST_P(Conversion, ContinuesThroughFailoversCompletionsAndCancellations) {
+  UpgradeCluster cluster(seeded_options());
+  submit_lasting(cluster, 30);
+  submit_arrays(cluster, 5, 70, 2);
+  cluster.advance_to(30, ClusterVersion::convert);
   for (int n = 0; n < 30; n += 4)
-    w.at(36.1 + 0.3 * n, [&w, n] { w.cancel("run-" + std::to_string(n)); });
-  w.at(37, [&] { w.crash(w.leader_of(0), 5); });
-  w.at(43, [&] { w.freeze(w.leader_of(1), 8); });
-  w.at(52, [&] { w.crash(w.leader_of(2), 0.5); });
-  w.run_until(75);
-  EXPECT_EQ(w.progress_in_bits(), 0u);
-  w.ask_now(1, Action::finalize);
-  w.run_until(190);
-  EXPECT_EQ(w.cluster_version(), 4u) << w.told().back().body;
-  expect_arrays_ended(w, 5, 70, 2);
-  expect_rules_kept(w);
+    cluster.at(36.1 + 0.3 * n, [&cluster, n] { cluster.cancel("run-" + std::to_string(n)); });
+  cluster.at(37, [&] { cluster.crash(cluster.leader_of(0), 5); });
+  cluster.at(43, [&] { cluster.freeze(cluster.leader_of(1), 8); });
+  cluster.at(52, [&] { cluster.crash(cluster.leader_of(2), 0.5); });
+  cluster.run_until(75);
+  EXPECT_EQ(cluster.progress_in_bits(), 0u);
+  cluster.ask_now(1, Action::finalize);
+  cluster.run_until(190);
+  EXPECT_EQ(cluster.cluster_version(), 4u) << cluster.replies().back().body;
+  expect_arrays_ended(cluster, 5, 70, 2);
+  expect_rules_kept(cluster);
 }
 
 // A value in neither form: the tasks that it may have told of are not taken for done, it stays as
 // it is, and the final step is refused by its key.
-TEST_P(Conversion, AnUnreadableValueIsReportedAndKept) {
-  UpgradeWorld w(options());
-  w.at(3, [&] {
-    w.submit(w.job("run-7", "blue", 4, 1, 60));
-    w.set_run_s("run-7", {2, 3, 60, 90});
+TEST_P(Conversion, UnreadableValueIsNamedAndKept) {
+  UpgradeCluster cluster(seeded_options());
+  cluster.at(3, [&] {
+    cluster.submit(cluster.job("run-7", "blue", 4, 1, 60));
+    cluster.set_run_s("run-7", {2, 3, 60, 90});
   });
-  w.run_until(20);
-  const auto stored = w.keys("d/");
+  cluster.run_until(20);
+  const auto stored = cluster.keys("d/");
   ASSERT_EQ(stored.size(), 1u);
   const std::string value = R"({"n":"n9.b1.1","chunk":0,"form":7,"runs":[0,2]})";
-  w.store(stored[0], value);
-  w.crash(w.leader_of(1), 6);
-  w.advance_to(35, ClusterVersion::convert);
-  w.ask(55, 0, Action::finalize);
-  w.run_until(58);
-  ASSERT_EQ(w.told().size(), 3u);
-  EXPECT_EQ(w.told().back().status, 409);
-  EXPECT_TRUE(w.told().back().has(stored[0])) << w.told().back().body;
-  EXPECT_EQ(*w.stored(stored[0]), value);
-  EXPECT_GT(w.lines("progress unreadable key=" + stored[0]), 0u);
-  w.run_until(170);
-  EXPECT_EQ(w.phase("run-7"), "done");
-  expect_rules_kept(w);
+  cluster.store(stored[0], value);
+  cluster.crash(cluster.leader_of(1), 6);
+  cluster.advance_to(35, ClusterVersion::convert);
+  cluster.ask(55, 0, Action::finalize);
+  cluster.run_until(58);
+  ASSERT_EQ(cluster.replies().size(), 3u);
+  EXPECT_EQ(cluster.replies().back().status, 409);
+  EXPECT_TRUE(cluster.replies().back().has(stored[0])) << cluster.replies().back().body;
+  EXPECT_EQ(*cluster.stored(stored[0]), value);
+  EXPECT_GT(cluster.lines("progress unreadable key=" + stored[0]), 0u);
+  cluster.run_until(170);
+  EXPECT_EQ(cluster.phase("run-7"), "done");
+  expect_rules_kept(cluster);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Conversion, testing::Values(1, 2, 3));
--- a/tests/upgrade/maintenance_window_test.cc
+++ b/tests/upgrade/maintenance_window_test.cc
@@ -27,7 +27,7 @@
   return {zone, {w}};
 }
 
-TEST(MaintenanceWindow, HoldsItsBeginningAndNotItsEnd) {
+TEST(MaintenanceWindow, IncludesItsStartAndExcludesItsEnd) {
   const auto w = window("Etc/UTC", "wed", "10:00", "12:00");  // 2026-12-02 is a Wednesday
   EXPECT_FALSE(w.contains(utc(2026, 12, 2, 9, 59)));
   EXPECT_TRUE(w.contains(utc(2026, 12, 2, 10, 0)));
@@ -36,7 +36,7 @@
   EXPECT_FALSE(w.contains(utc(2026, 12, 3, 11, 0)));
 }
 
-TEST(MaintenanceWindow, CrossesMidnightIntoTheNextDay) {
+TEST(MaintenanceWindow, SpansMidnight) {
   const auto w = window("America/Bogota", "sat", "22:00", "04:00");  // five hours behind, always
   EXPECT_FALSE(w.contains(utc(2026, 12, 6, 2, 59)));                 // Saturday, 21:59
   EXPECT_TRUE(w.contains(utc(2026, 12, 6, 3, 0)));
@@ -46,7 +46,7 @@
   EXPECT_FALSE(w.contains(utc(2026, 12, 5, 7, 0)));  // Saturday, 02:00
 }
 
-TEST(MaintenanceWindow, OfAWholeDayEndsAtItsEnd) {
+TEST(MaintenanceWindow, OfAWholeDayEndsWithThatDay) {
   const auto w = window("Asia/Jakarta", "sun", "00:00", "24:00");
   EXPECT_FALSE(w.contains(utc(2026, 12, 5, 16, 59)));
   EXPECT_TRUE(w.contains(utc(2026, 12, 5, 17, 0)));
@@ -55,7 +55,7 @@
 }
 
 // Berlin, 2026-03-29: at 02:00 the clocks go on to 03:00, which is 01:00 UTC.
-TEST(MaintenanceWindow, SkipsWhatTheClocksSkipInSpring) {
+TEST(MaintenanceWindow, SkipsTheMissingHourWhenDaylightSavingBegins) {
   const auto over = window("Europe/Berlin", "sun", "01:30", "03:30");
   EXPECT_FALSE(over.contains(utc(2026, 3, 29, 0, 29)));
   EXPECT_TRUE(over.contains(utc(2026, 3, 29, 0, 30)));
@@ -73,7 +73,7 @@
 }
 
 // Berlin, 2026-10-25: at 03:00 the clocks go back to 02:00, which is 01:00 UTC.
-TEST(MaintenanceWindow, TakesTheFirstOfTheHoursThatComeTwiceInAutumn) {
+TEST(MaintenanceWindow, TakesTheFirstRepeatedHourWhenDaylightSavingEnds) {
   const auto over = window("Europe/Berlin", "sun", "01:30", "03:30");
   EXPECT_FALSE(over.contains(utc(2026, 10, 24, 23, 29)));
   EXPECT_TRUE(over.contains(utc(2026, 10, 24, 23, 30)));
@@ -87,11 +87,11 @@
   EXPECT_FALSE(inside.contains(utc(2026, 10, 25, 1, 30)));  // 02:30 for the second time
 }
 
-TEST(MaintenanceWindow, NoneContainsNothing) {
+TEST(MaintenanceWindow, EmptySetContainsNothing) {
   EXPECT_FALSE(MaintenanceWindows().contains(utc(2026, 12, 2, 12, 0)));
 }
 
-TEST(MaintenanceWindow, MalformedTimesAndDaysAreRefused) {
+TEST(MaintenanceWindow, MalformedTimesAndDaysAreRejected) {
   for (const char* text : {"", "1:00", "24:01", "25:00", "10:60", "10-00", "aa:bb", "10:000"})
     EXPECT_FALSE(parse_time_of_day(text)) << text;
   EXPECT_TRUE(parse_time_of_day("24:00"));
--- a/tests/upgrade/plan_test.cc
+++ b/tests/upgrade/plan_test.cc
@@ -21,7 +21,7 @@
   return false;
 }
 
-TEST(StepPlan, GoesForwardOneStepWhenAllHaveAcknowledged) {
+TEST(StepPlan, AdvancesOneStepWhenAllHaveAcknowledged) {
   const auto plan =
       plan_step({Action::advance, {}}, at(ClusterVersion::base),
                 {acting("n0", ClusterVersion::base), acting("n1", ClusterVersion::base)});
@@ -30,7 +30,7 @@
   EXPECT_FALSE(plan.needs_census);
 }
 
-TEST(StepPlan, NamesEachControllerThatStandsInItsWay) {
+TEST(StepPlan, NamesEachBlockingController) {
   const ControllerFacts away{"n1", true, 0, std::nullopt};
   const ControllerFacts earlier{"n2", true, 7, std::nullopt};
   const auto plan = plan_step({Action::advance, {}}, at(ClusterVersion::write_compact),
@@ -43,7 +43,7 @@
   for (const char* name : {"n1", "n2", "n3", "n4"}) EXPECT_TRUE(names(plan, name)) << name;
 }
 
-TEST(StepPlan, LeavesOutOnlyWhoIsAwayAndConfigured) {
+TEST(StepPlan, ExcludesOnlyAbsentConfiguredControllers) {
   const ControllerFacts away{"n1", true, 0, std::nullopt};
   const std::vector<ControllerFacts> controllers = {acting("n0", ClusterVersion::base), away};
   EXPECT_TRUE(
@@ -54,7 +54,7 @@
       plan_step({Action::advance, {"n1", "n9"}}, at(ClusterVersion::base), controllers), "n9"));
 }
 
-TEST(StepPlan, GoesBackAlsoHalfwayThroughAStepAndWithoutWhoIsAway) {
+TEST(StepPlan, AbortsDuringAStepAndWithoutAbsentControllers) {
   const ControllerFacts away{"n2", true, 0, std::nullopt};
   EXPECT_TRUE(plan_step({Action::abort, {}}, at(ClusterVersion::convert),
                         {acting("n0", ClusterVersion::convert),
@@ -67,7 +67,7 @@
                     "n1"));
 }
 
-TEST(StepPlan, HasNoStepBeyondTheEnds) {
+TEST(StepPlan, HasNoStepBeyondTheFirstAndLastVersions) {
   const std::vector<ControllerFacts> none;
   EXPECT_FALSE(plan_step({Action::abort, {}}, at(ClusterVersion::base), none).to);
   EXPECT_FALSE(plan_step({Action::abort, {}}, at(ClusterVersion::compact_only), none).to);
@@ -77,7 +77,7 @@
   EXPECT_FALSE(plan_step({Action::advance, {}}, {std::nullopt, 5}, none).to);
 }
 
-TEST(StepPlan, IsFinalOnlyWhenNothingIsLeft) {
+TEST(StepPlan, FinalizesOnlyWhenNothingIsLeftToConvert) {
   auto plan = plan_step({Action::finalize, {}}, at(ClusterVersion::convert),
                         {acting("n0", ClusterVersion::convert)});
   EXPECT_TRUE(plan.needs_census);
@@ -92,7 +92,7 @@
 }
 
 // The gates of neighbouring versions never ask for opposite conversions at the same time.
-TEST(Gates, NeighbouringVersionsAgree) {
+TEST(VersionGates, AdjacentVersionsAreCompatible) {
   EXPECT_EQ(progress_policy(ClusterVersion::base).write, ProgressForm::bits);
   EXPECT_EQ(progress_policy(ClusterVersion::write_compact).write, ProgressForm::compact);
   EXPECT_FALSE(progress_policy(ClusterVersion::write_compact).convert_to);
@@ -104,7 +104,7 @@
   EXPECT_FALSE(notes(next(kNewestVersion)));
 }
 
-TEST(StepOrder, IsReadAsItWasWritten) {
+TEST(StepOrder, RoundTrips) {
   StepOrder order;
   order.step.action = Action::abort;
   order.step.without = {"n1", "n2"};
@@ -122,7 +122,7 @@
   EXPECT_EQ(parsed.order->reason, "why");
 }
 
-TEST(StepOrder, NamesTheFieldThatIsWrong) {
+TEST(StepOrder, NamesTheInvalidField) {
   const std::string good = R"({"action":"advance","from":1,"request":"r","who":"o","reason":"x"})";
   EXPECT_TRUE(codec::parse_step_order(good).order);
   const std::vector<std::pair<std::string, std::string>> bad = {
@@ -142,7 +142,7 @@
   }
 }
 
-TEST(StepRecord, IsReadAsItWasWritten) {
+TEST(StepRecord, RoundTrips) {
   StepRecord record;
   record.at = 1764668592000;
   record.who = "ops1";
--- a/tests/upgrade/settings_test.cc
+++ b/tests/upgrade/settings_test.cc
@@ -31,7 +31,7 @@
     "[upgrade.automatic]\nenabled = true\ntime_zone = \"America/Vancouver\"\n"
     "[[upgrade.automatic.windows]]\ndays = [\"sat\", \"sun\"]\nfrom = \"22:00\"\nto = \"04:00\"\n";
 
-TEST_F(UpgradeFile, IsReadWhole) {
+TEST_F(UpgradeFile, ParsesAllFields) {
   EXPECT_EQ(load(kAutomatic), std::vector<std::string>{});
   EXPECT_TRUE(settings_.enabled);
   EXPECT_TRUE(settings_.automatic);
@@ -39,14 +39,14 @@
   EXPECT_EQ(settings_.range.newest, ClusterVersion::write_compact);
 }
 
-TEST_F(UpgradeFile, NeedsNoMoreThanItsTable) {
+TEST_F(UpgradeFile, RequiresOnlyItsTable) {
   EXPECT_EQ(load("[upgrade]\n"), std::vector<std::string>{});
   EXPECT_TRUE(settings_.enabled);
   EXPECT_FALSE(settings_.automatic);
   EXPECT_EQ(settings_.range, VersionRange{});
 }
 
-TEST_F(UpgradeFile, TheOneUnderDeployIsGoodAndTakesNoStepsByItself) {
+TEST_F(UpgradeFile, DeployedFileIsValidAndNotAutomatic) {
   UpgradeSettings settings;
   EXPECT_EQ(
       load_upgrade_settings(std::string(EIDERREEL_SOURCE_DIR) + "/deploy/upgrade.toml", settings),
@@ -55,7 +55,7 @@
   EXPECT_FALSE(settings.automatic);
 }
 
-TEST_F(UpgradeFile, EveryProblemIsNamedByFileAndField) {
+TEST_F(UpgradeFile, EachProblemIsNamedByFileAndField) {
   const std::vector<std::pair<std::string, std::string>> bad = {
       {"", "upgrade: is missing"},
       {"upgrade = 1\n", "upgrade: must be a table"},
@@ -87,7 +87,7 @@
   }
 }
 
-TEST_F(UpgradeFile, AFileThatIsNotThereIsAProblem) {
+TEST_F(UpgradeFile, MissingFileIsAProblem) {
   UpgradeSettings settings;
   EXPECT_EQ(load_upgrade_settings(testing::TempDir() + "none.toml", settings).size(), 1u);
   EXPECT_FALSE(settings.enabled);
--- a/tests/upgrade/upgrade_cluster.h
+++ b/tests/upgrade/upgrade_cluster.h
@@ -1,5 +1,5 @@
-// A simulated world whose controllers take part in cluster versions, and operators who ask them for
-// steps.
+// A simulated cluster whose controllers take part in cluster versions, and operators who ask them
+// for steps.
 #pragma once
 #include <rapidjson/document.h>
 
@@ -28,24 +28,24 @@
 }
 
 inline Options upgrade_options(std::uint64_t seed) {
-  Options o;
-  o.seed = seed;
-  o.machines = 9;
-  o.upgrades = enabled_upgrades();
-  return o;
+  Options options;
+  options.seed = seed;
+  options.machines = 9;
+  options.upgrades = enabled_upgrades();
+  return options;
 }
 
 // What an operator was told.
-struct Told {
+struct OperatorReply {
   int status = 0;
   std::string body;
 
   bool has(const std::string& text) const { return body.find(text) != std::string::npos; }
 };
 
-class UpgradeWorld : public World {
+class UpgradeCluster : public SimulatedCluster {
  public:
-  explicit UpgradeWorld(const Options& o) : World(o) {}
+  explicit UpgradeCluster(const Options& options) : SimulatedCluster(options) {}
 
   // Asks a controller for a step, from the version that the state store has at that moment.
   void ask_now(int node, Action action, std::set<std::string> without = {},
@@ -59,17 +59,17 @@
         "a test"};
     raw(node, "POST", "/upgrade/step", codec::encode(order),
         [this, request](int status, std::string body) {
-          told_.push_back({status, std::move(body)});
-          by_request_[request] = told_.back();
+          replies_.push_back({status, std::move(body)});
+          by_request_[request] = replies_.back();
         });
   }
-  void ask(double t, int node, Action action, std::set<std::string> without = {}) {
-    at(t, [this, node, action, without] { ask_now(node, action, without); });
+  void ask(double time_s, int node, Action action, std::set<std::string> without = {}) {
+    at(time_s, [this, node, action, without] { ask_now(node, action, without); });
   }
   // Steps forward until the cluster is at this version, one every few seconds.
-  void advance_to(double t, ClusterVersion version, int node = 0) {
-    for (std::uint32_t v = 1; v < upgrade::number(version); ++v, t += kSettle)
-      ask(t, node,
+  void advance_to(double time_s, ClusterVersion version, int node = 0) {
+    for (std::uint32_t v = 1; v < upgrade::number(version); ++v, time_s += kSettle)
+      ask(time_s, node,
           v + 1 == upgrade::number(ClusterVersion::compact_only) ? Action::finalize
                                                                  : Action::advance);
   }
@@ -78,27 +78,27 @@
   std::uint64_t cluster_version() const {
     const std::string* value = stored("e/upgrade/version");
     if (!value) return 1;
-    rapidjson::Document d;
-    d.Parse(value->c_str());
-    return d["version"].IsUint64() ? d["version"].GetUint64() : 0;
+    rapidjson::Document document;
+    document.Parse(value->c_str());
+    return document["version"].IsUint64() ? document["version"].GetUint64() : 0;
   }
   // Under which version a controller acts, by its record; 0: it has none.
   std::uint64_t acting(int node) const {
     const std::string* value = stored("e/node/n" + std::to_string(node));
     if (!value) return 0;
-    rapidjson::Document d;
-    d.Parse(value->c_str());
-    return d.HasMember("acting") ? d["acting"].GetUint64() : 0;
+    rapidjson::Document document;
+    document.Parse(value->c_str());
+    return document.HasMember("acting") ? document["acting"].GetUint64() : 0;
   }
   // Answers to the operators, in the order in which they came.
-  const std::vector<Told>& told() const { return told_; }
-  Told told_of(const std::string& request) const {
+  const std::vector<OperatorReply>& replies() const { return replies_; }
+  OperatorReply reply_to(const std::string& request) const {
     const auto found = by_request_.find(request);
-    return found == by_request_.end() ? Told{} : found->second;
+    return found == by_request_.end() ? OperatorReply{} : found->second;
   }
-  std::size_t told_with(int status) const {
+  std::size_t replies_with(int status) const {
     std::size_t n = 0;
-    for (const Told& t : told_) n += t.status == status;
+    for (const OperatorReply& reply : replies_) n += reply.status == status;
     return n;
   }
   std::size_t progress_with(const std::string& text) const {
@@ -110,31 +110,32 @@
 
  private:
   int requests_ = 0;
-  std::vector<Told> told_;
-  std::map<std::string, Told> by_request_;
+  std::vector<OperatorReply> replies_;
+  std::map<std::string, OperatorReply> by_request_;
 };
 
 // Arrays of every team all the time, whose tasks end far apart, some of them cancelled.
-inline void submit_arrays(World& w, double from, double to, double every = 3) {
+inline void submit_arrays(SimulatedCluster& cluster, double from, double to, double every = 3) {
   int n = 0;
-  for (double t = from; t < to; t += every, ++n) {
+  for (double time_s = from; time_s < to; time_s += every, ++n) {
     const std::string id = "run-" + std::to_string(1000 + n);
     const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(n % 3)];
-    w.at(t, [&w, id, team, n] {
+    cluster.at(time_s, [&cluster, id, team, n] {
       std::vector<double> run_s;
       for (int task = 0; task < 16; ++task) run_s.push_back(2 + (task * 7 + n) % 25);
-      w.submit(w.job(id, team, 16, 0.5, 10));
-      w.set_run_s(id, run_s);
+      cluster.submit(cluster.job(id, team, 16, 0.5, 10));
+      cluster.set_run_s(id, run_s);
     });
-    if (n % 6 == 5) w.at(t + 8, [&w, id] { w.cancel(id); });
+    if (n % 6 == 5) cluster.at(time_s + 8, [&cluster, id] { cluster.cancel(id); });
   }
 }
 
-inline void expect_arrays_ended(World& w, double from, double to, double every = 3) {
+inline void expect_arrays_ended(SimulatedCluster& cluster, double from, double to,
+                                double every = 3) {
   int n = 0;
-  for (double t = from; t < to; t += every, ++n) {
+  for (double time_s = from; time_s < to; time_s += every, ++n) {
     const std::string id = "run-" + std::to_string(1000 + n);
-    const std::string phase = w.phase(id);
+    const std::string phase = cluster.phase(id);
     EXPECT_TRUE(phase == "done" || (n % 6 == 5 && phase == "cancelled")) << id << " is " << phase;
   }
 }
