--- /dev/null
+++ b/tests/at_scale_test.cc
@@ -0,0 +1,89 @@
+// More machines and jobs than the other days have, under the rate limits of the state store.
+#include <array>
+#include <cmath>
+
+#include "trace/fault_trace.h"
+
+using namespace eiderreel;
+using namespace eiderreel::standin;
+
+namespace {
+
+// At size: all controllers end at once, and a single one is back for a while; then a rack falls
+// with all that is on it, and new machines come up together. No lease ends but those of the rack,
+// and nobody is forgotten.
+TEST(AtScale, OneControllerServesAllAndARackFails) {
+  Options options;
+  options.machines = 120;
+  options.capacity = 40;
+  options.limits = true;
+  options.state_rps = 180;
+  options.state_write_rps = 60;
+  options.teams = {{"red", 320, 640, 0, 0}, {"blue", 320, 640, 0, 0}, {"gold", 320, 640, 0, 0}};
+  SimulatedCluster cluster(options);
+  std::vector<std::string> ids;
+  for (int i = 0; i < 90; ++i) {
+    ids.push_back("run-" + std::to_string(i));
+    const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(i % 3)];
+    cluster.at(15 + i * 0.5, [&cluster, id = ids.back(), team] {
+      cluster.submit(cluster.job(id, team, 20, 1, 10));
+    });
+  }
+  cluster.at(25, [&] {
+    cluster.crash(0, 20);
+    cluster.crash(1, 20);
+    cluster.crash(2, 0.3);
+  });
+  cluster.run_until(50);
+  expect_no_lease_ends(cluster);
+  for (int i = 0; i < 40; ++i) cluster.kill_machine(machine(i));
+  cluster.run_until(150);
+  cluster.checker().faults_over(60);
+  expect_rules_kept(cluster);
+  for (const auto& id : ids) EXPECT_EQ(cluster.phase(id), "done") << id;
+  expect_all_answered(cluster, ids);
+}
+
+// At size: machines that come up together cost few transactions, and users are not kept waiting by
+// the progress of arrays, within a state store that refuses what is over its rate.
+struct Strain {
+  double changes_a_second, slowest_acceptance_s;
+  std::size_t refused;
+};
+
+class TokenBucket : public testing::TestWithParam<Strain> {};
+
+TEST_P(TokenBucket, UserRequestsTakePrecedenceOverProgress) {
+  Options options;
+  options.machines = 90;
+  options.limits = true;
+  options.state_write_rps = GetParam().changes_a_second;
+  options.state_rps = 60;
+  options.teams = {{"red", 160, 240, 0, 0}, {"blue", 160, 240, 0, 0}, {"gold", 160, 240, 0, 0}};
+  SimulatedCluster cluster(options);
+  cluster.run_until(25);
+  EXPECT_LT(cluster.commits(), 60u);  // for 90 machines, 3 partitions and 3 nodes
+  int n = 0;
+  for (int time_s = 25; time_s < 85; ++time_s)
+    for (const char* team : {"red", "blue", "gold"}) {
+      const std::string id = "run-" + std::to_string(++n);
+      if (n % 4 == 0)
+        cluster.at(time_s,
+                   [&cluster, id, team] { cluster.submit(cluster.job(id, team, 40, 1, 10)); });
+    }
+  cluster.run_until(140);
+  expect_rules_kept(cluster);
+  EXPECT_LT(cluster.slowest_acceptance(), GetParam().slowest_acceptance_s);
+  EXPECT_LT(cluster.refused_over_limit(), GetParam().refused);
+  for (int i = 4; i <= n; i += 4) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done") << i;
+}
+
+// At 12 changes a second progress alone would take more than there is: 1.2 s when it goes first.
+INSTANTIATE_TEST_SUITE_P(Rates, TokenBucket,
+                         testing::Values(Strain{20, 0.3, 30}, Strain{12, 0.9, 60}),
+                         [](const auto& info) {
+                           return std::to_string(std::lround(info.param.changes_a_second)) +
+                                  "ChangesPerSecond";
+                         });
+
+}  // namespace
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -24,7 +24,7 @@
 };
 
 // Machines are cut off when a job of theirs is cancelled, and its leader ends. They are back within
-// their leases, and the next leader tells them its fencing token, which renews the lease. before
+// their leases, and the next leader sends them its fencing token, which renews the lease. Before
 // they send a heartbeat again they are cut off once more, for longer than that lease lasts.
 TEST_P(CancellationDuringNetworkPartition, ReplyWithANewFencingTokenCarriesKills) {
   SimulatedCluster cluster(slow_heartbeats(GetParam()));
@@ -60,7 +60,8 @@
   expect_rules_kept(cluster);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, CancellationDuringNetworkPartition, testing::Values(1, 2, 3));
+INSTANTIATE_TEST_SUITE_P(Seeds, CancellationDuringNetworkPartition, testing::Values(1, 2, 3),
+                         seed_name);
 
 // A leader pauses until its lease is over. What it finds first when it goes on, before its
 // own pace, is a job that was accepted meanwhile: no reason to answer the workers that still wait.
@@ -83,7 +84,8 @@
 }
 
 // A controller that does not reach the leader asks the state store, which is slow. What it hears
-// may be older than the end of the job, which another controller has told the user meanwhile.
+// may be older than the end of the job, which another controller has confirmed to the user
+// meanwhile.
 TEST(SlowStateStore, ReturnsNoStaleStatusAfterAConfirmedCancellation) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Options options;
@@ -104,8 +106,8 @@
   }
 }
 
-// A controller pauses between a question and its answer. What it finds when it goes on is
-// older than the cancellation that another controller has told meanwhile.
+// A controller pauses between a poll and its reply. What it finds when it resumes is older than the
+// cancellation that another controller has confirmed meanwhile.
 TEST(PausedController, ReturnsNoStaleStatusAfterResuming) {
   std::size_t met = 0;
   for (int offset = 0; offset < 30; ++offset) {
@@ -127,7 +129,7 @@
 }
 
 // Every direct command is held up: the kills that come with answers to heartbeats are enough, also
-// for tasks that were told to save, for longer than a cancellation may take.
+// for tasks that were asked to checkpoint, for longer than a cancellation may take.
 TEST(DelayedCommands, KillsOfACancelledJobArriveWithHeartbeatReplies) {
   Options options;
   options.machines = 2;
--- /dev/null
+++ b/tests/chain_completion_test.cc
@@ -0,0 +1,70 @@
+// The last prerequisite of a job is done at about the moment of a fault.
+#include "standin/chains.h"
+
+using namespace eiderreel;
+using namespace eiderreel::standin;
+
+namespace {
+
+enum class Fault { leader_crashes, dependents_leader_crashes, outage, all_crash, failback };
+
+std::string fault_name(Fault fault) {
+  switch (fault) {
+    case Fault::leader_crashes:
+      return "LeaderCrashes";
+    case Fault::dependents_leader_crashes:
+      return "LeaderOfDependentsCrashes";
+    case Fault::outage:
+      return "StateStoreOutage";
+    case Fault::all_crash:
+      return "AllControllersCrash";
+    case Fault::failback:
+      return "Failback";
+  }
+  return "";
+}
+
+class ChainCompletion : public testing::TestWithParam<std::tuple<Fault, std::uint64_t>> {};
+
+// The last prerequisite ends within the second around the fault, at offsets all through it.
+TEST_P(ChainCompletion, CoincidesWithAFault) {
+  const auto [fault, seed] = GetParam();
+  std::size_t met = 0;
+  for (int offset = 0; offset < 6; ++offset) {
+    SimulatedCluster cluster(seeded(seed * 10 + static_cast<std::uint64_t>(offset)));
+    double ended = -1;
+    const double at = 9.6 + 0.25 * offset;
+    if (fault == Fault::failback)  // given back to its preferred leader about when run-1 ends
+      cluster.at(at - 7.2, [&cluster] { cluster.crash(2, 2); });
+    cluster.at(5, [&] { submit_pipeline(cluster, 5); });
+    cluster.at(at, [&cluster, fault = fault] {
+      const int leader = cluster.leader_of(fault == Fault::leader_crashes ? 0 : 1);
+      if (fault == Fault::leader_crashes || fault == Fault::dependents_leader_crashes)
+        cluster.crash(std::max(leader, 0), 4);
+      if (fault == Fault::all_crash)
+        for (int n = 0; n < 3; ++n) cluster.crash(n, 1 + n);
+      if (fault == Fault::outage) cluster.state_outage(true);
+    });
+    if (fault == Fault::outage) cluster.at(at + 12, [&cluster] { cluster.state_outage(false); });
+    for (double time_s = 9; time_s < 40; time_s += 0.05)
+      cluster.at(time_s, [&] {
+        if (ended < 0 && cluster.checker().ready("run-2")) ended = cluster.now();
+      });
+    cluster.run_until(100);
+    met += ended > 0 && std::abs(ended - at) < 1.5;
+    expect_phase(cluster, {"run-1", "run-2", "run-3"}, "done");
+    expect_rules_kept(cluster, std::to_string(offset));
+  }
+  EXPECT_GE(met, 2u);
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    Faults, ChainCompletion,
+    testing::Combine(testing::Values(Fault::leader_crashes, Fault::dependents_leader_crashes,
+                                     Fault::outage, Fault::all_crash, Fault::failback),
+                     testing::Values(1, 2, 3)),
+    [](const auto& info) {
+      return fault_name(std::get<0>(info.param)) + "Seed" + std::to_string(std::get<1>(info.param));
+    });
+
+}  // namespace
--- a/tests/chain_scale_test.cc
+++ b/tests/chain_scale_test.cc
@@ -159,6 +159,6 @@
   expect_rules_kept(cluster);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, LoweredLimits, testing::Values(1, 2, 3));
+INSTANTIATE_TEST_SUITE_P(Seeds, LoweredLimits, testing::Values(1, 2, 3), seed_name);
 
 }  // namespace
--- a/tests/measure/upgrade_measures.cc
+++ b/tests/measure/upgrade_measures.cc
@@ -53,7 +53,7 @@
   Options options = upgrade_options(seed);
   options.state_rps = 400;
   UpgradeCluster cluster(options);
-  submit_arrays(cluster, 3, 60);
+  submit_arrays(cluster, {3, 60});
   Load load;
   submit_steadily(cluster, 20, 50, load);
   if (steps)
@@ -216,7 +216,7 @@
         {"red", 8000, 20000, 0, 0}, {"blue", 8000, 20000, 0, 0}, {"gold", 8000, 20000, 0, 0}};
     const double began = processor_s();
     UpgradeCluster cluster(options);
-    submit_arrays(cluster, 60, 180, 0.4);
+    submit_arrays(cluster, {60, 180, 0.4});
     if (enabled) cluster.advance_to(90, ClusterVersion::convert);
     cluster.run_until(200);
     rusage usage{};
--- a/tests/prerequisites_upgrade_test.cc
+++ b/tests/prerequisites_upgrade_test.cc
@@ -107,6 +107,6 @@
   expect_rules_kept(cluster);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, PrerequisitesUpgrade, testing::Values(1, 2, 3));
+INSTANTIATE_TEST_SUITE_P(Seeds, PrerequisitesUpgrade, testing::Values(1, 2, 3), seed_name);
 
 }  // namespace
--- /dev/null
+++ b/tests/races_test.cc
@@ -0,0 +1,147 @@
+// Requests and commits that race: with the end of a job, with restarts and outages, and with a
+// transaction whose outcome is unknown.
+#include <array>
+#include <cmath>
+
+#include "standin/expectations.h"
+
+using namespace eiderreel;
+using namespace eiderreel::standin;
+
+namespace {
+
+// With no other fault, a cancellation, a question and a repeated submission come at that moment,
+// each some milliseconds later than for the job before.
+TEST(JobCompletion, RacesWithCancellationPollAndResubmission) {
+  SimulatedCluster cluster({});
+  constexpr int kJobs = 60;
+  std::vector<JobSpec> specs;
+  for (int i = 0; i < kJobs; ++i) {
+    JobSpec spec = cluster.job("run-" + std::to_string(i), std::array{"red", "blue", "gold"}[i % 3],
+                               1, 0.25, 4);
+    spec.image_gb = 0;
+    specs.push_back(spec);
+  }
+  cluster.at(6, [&] {
+    for (const auto& spec : specs) cluster.submit(spec);
+  });
+  for (int i = 0; i < kJobs; ++i)
+    cluster.at(10.0 + 0.025 * i, [&cluster, &specs, i] {
+      const JobSpec& spec = specs[static_cast<std::size_t>(i)];
+      cluster.cancel(spec.id);
+      for (int n = 0; n < 3; ++n) {
+        cluster.poll_once(n, spec.id, [](int, const std::string&) {});
+        cluster.repeat(n, spec);
+      }
+      cluster.at(cluster.now() + 0.1, [&cluster, &spec] {
+        for (int n = 0; n < 3; ++n) cluster.repeat(n, spec);
+      });
+    });
+  cluster.faults_over();
+  cluster.run_until(110);
+  expect_rules_kept(cluster);
+  std::map<std::string, int> ends;
+  for (const auto& spec : specs) ++ends[cluster.phase(spec.id)];
+  EXPECT_GE(ends["done"], 5);  // both were met
+  EXPECT_GE(ends["cancelled"], 5);
+  EXPECT_EQ(ends["done"] + ends["cancelled"], kJobs);
+}
+
+// Fresh nodes, also in an outage, accept nothing that cannot run or lacks a field.
+TEST(InvalidSubmissions, AreNeverAccepted) {
+  SimulatedCluster cluster({});
+  JobSpec nowhere = cluster.job("run-1", "red", 2), nobody = cluster.job("run-2", "nobody", 2),
+          large = cluster.job("run-3", "red", 2, 9);
+  nowhere.zone = "z";
+  const std::string good = codec::encode(cluster.job("run-4", "red", 2), "user");
+  std::string lacking = good;
+  lacking.replace(lacking.find("\"shards\""), 8, "\"shard\"");
+  const std::vector<std::string> odd = {codec::encode(nowhere, "u"),
+                                        codec::encode(nobody, "u"),
+                                        codec::encode(large, "u"),
+                                        lacking,
+                                        good + "x",
+                                        "[]"};
+  cluster.at(8, [&] {
+    for (int n = 0; n < 3; ++n) cluster.crash(n, 0.1 + n);
+  });
+  cluster.at(14, [&] { cluster.state_outage(true); });
+  cluster.at(15, [&] { cluster.crash(1, 0.2); });
+  cluster.at(30, [&] { cluster.state_outage(false); });
+  for (double time_s = 3; time_s < 45; time_s += 0.31)
+    cluster.at(time_s, [&cluster, &odd] {
+      for (int n = 0; n < 3; ++n)
+        for (const auto& body : odd) cluster.submit_invalid(n, body);
+    });
+  cluster.at(20, [&cluster] { cluster.submit(cluster.job("run-9", "red", 2)); });
+  cluster.run_until(60);
+  EXPECT_GT(cluster.invalid_rejected(400), 100u);
+  EXPECT_GT(cluster.invalid_rejected(422), 100u);
+  EXPECT_GT(cluster.invalid_rejected(503), 10u);
+  EXPECT_EQ(cluster.phase("run-9"), "done");
+  expect_rules_kept(cluster);
+}
+
+// A service and a short array of each team.
+void short_load(SimulatedCluster& cluster) {
+  cluster.at(5, [&cluster] {
+    int n = 800;
+    for (const char* team : {"red", "blue", "gold"}) {
+      cluster.submit(cluster.service("run-" + std::to_string(n++), team, 1, 2));
+      cluster.submit(cluster.job("run-" + std::to_string(n++), team, 6, 1, 4));
+    }
+  });
+}
+
+// The transaction that gives idle machines away has no answer and lands seconds later; until then
+// later tries are refused. The giver must not use the machines meanwhile.
+class TransferWithUnknownOutcome
+    : public testing::TestWithParam<std::tuple<std::uint64_t, double>> {};
+
+TEST_P(TransferWithUnknownOutcome, MachinesAreNotUsedUntilItIsProven) {
+  const auto [seed, late_s] = GetParam();
+  Options options;
+  options.seed = seed;
+  options.capacity = 0;
+  SimulatedCluster cluster(options);
+  short_load(cluster);
+  std::size_t before = 0;
+  double moved = 0;
+  cluster.at(11, [&, late_s = late_s] {
+    cluster.late_writes({1, late_s, late_s + 0.1});
+    before = cluster.lines("machine transfer");
+  });
+  for (double time_s = 11.01; time_s < 60; time_s += 0.05)
+    cluster.at(time_s, [&] {
+      if (moved > 0 || cluster.lines("machine transfer") == before) return;
+      moved = cluster.now();
+      cluster.late_writes({});
+      for (int n = 0; n < 3; ++n) cluster.state_refuses(n, true);
+      cluster.cloud_outage(true);  // nothing can be returned, so what is on the machines goes on
+      cluster.at(moved + 20, [&cluster] { cluster.cloud_outage(false); });
+      cluster.at(moved + 3.6, [&cluster] {
+        for (int n = 0; n < 3; ++n) cluster.state_refuses(n, false);
+      });
+      cluster.at(moved + 3.7, [&cluster] {
+        for (int i = 0; i < 9; ++i)
+          cluster.submit(cluster.job("run-" + std::to_string(i),
+                                     std::array{"red", "blue", "gold"}[i % 3], 12));
+      });
+    });
+  cluster.run_until(60);
+  ASSERT_GT(moved, 0);
+  ASSERT_GE(cluster.without_answer(), 1u);
+  cluster.faults_over();
+  cluster.run_until(190);
+  expect_rules_kept(cluster);
+  for (int i = 0; i < 9; ++i) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done") << i;
+}
+
+INSTANTIATE_TEST_SUITE_P(Delays, TransferWithUnknownOutcome,
+                         testing::Combine(testing::Values(1, 2, 3), testing::Values(4.2, 5.0, 7.0)),
+                         [](const auto& info) {
+                           return "Seed" + std::to_string(std::get<0>(info.param)) + "LateMs" +
+                                  std::to_string(std::lround(std::get<1>(info.param) * 1000));
+                         });
+
+}  // namespace
--- a/tests/random_days_test.cc
+++ b/tests/random_days_test.cc
@@ -4,8 +4,8 @@
 //
 //   EIDERREEL_DAYS=1-500 target/tests/eiderreel_tests --gtest_filter='RandomDays.*'
 //
-// A day that breaks a rule is told by its number; EIDERREEL_DAYS=N-N plays it again, and with
-// EIDERREEL_TRACE=1 tells what happened.
+// A day that violates a rule is reported by its number; EIDERREEL_DAYS=N-N replays it, and
+// EIDERREEL_TRACE=1 prints its trace.
 #include <array>
 #include <cstdio>
 #include <cstdlib>
--- /dev/null
+++ b/tests/scheduler/placement_test.cc
@@ -0,0 +1,252 @@
+// Which task goes where, in which order, and who is preempted.
+#include "scheduler/partition_scheduler_fixture.h"
+
+using namespace eiderreel;
+using namespace eiderreel::standin;
+
+namespace {
+
+class PartitionSchedulerPlacement : public PartitionSchedulerTest {};
+
+TEST_F(PartitionSchedulerPlacement, OrdersByFairShareThenAge) {
+  partition.add_machine("m-1", 12, true, 0);
+  partition.open_job(job("run-1", 8, "red"), 11, false, {});
+  partition.open_job(job("run-2", 8, "blue"), 12, false, {});
+  partition.on_heartbeat(heartbeat("m-1"), 100);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
+  int red = 0;
+  for (const auto& command : starts) red += command.job == "run-1";
+  EXPECT_EQ(red, 4);
+}
+
+// The latest start counts, and what can no longer be in time lets the rest go first.
+TEST_F(PartitionSchedulerPlacement, TightestFeasibleDeadlineGoesFirst) {
+  partition.add_machine("m-1", 12, true, 0);
+  JobSpec loose = job("run-1", 2), tight = job("run-2", 2), lost = job("run-3", 2);
+  loose.deadline_s = 100;
+  tight.deadline_s = 40;
+  lost.deadline_s = 10;
+  loose.estimate_s = tight.estimate_s = lost.estimate_s = 20;
+  partition.open_job(lost, 11, false, {});
+  partition.open_job(loose, 12, false, {});
+  partition.open_job(tight, 13, false, {});
+  JobSpec soon = job("run-4", 2);
+  soon.jobclass = "soon";
+  soon.estimate_s = 20;
+  partition.open_job(soon, 14, false, {});
+  partition.on_heartbeat(heartbeat("m-1"), 100);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
+  EXPECT_EQ(starts[0].job, "run-4");
+  EXPECT_EQ(starts[2].job, "run-2");
+  EXPECT_EQ(starts[4].job, "run-1");
+  EXPECT_EQ(starts[6].job, "run-3");
+}
+
+TEST_F(PartitionSchedulerPlacement, HonoursOneZoneAndSpreadConstraints) {
+  partition.add_machine("m-1", 12, true, 0);
+  partition.add_machine("m-2", 12, true, 0);
+  JobSpec apart = job("run-1", 5);
+  apart.spread = true;
+  partition.open_job(apart, 11, false, {});
+  partition.on_heartbeat(heartbeat("m-1"), 100);
+  EXPECT_EQ(partition.place_tasks("m-1", 100).size(), 3u);
+  JobSpec one = job("run-2", 8, "blue");
+  one.one_zone = true;
+  partition.open_job(one, 12, false, {});
+  EXPECT_EQ(partition.place_tasks("m-1", 150).size(), 5u);
+  Heartbeat far = heartbeat("m-2");
+  far.zone = "b";
+  partition.on_heartbeat(far, 200);
+  auto starts = partition.place_tasks("m-2", 200);
+  ASSERT_EQ(starts.size(), 2u);
+  EXPECT_EQ(starts[0].job, "run-1");
+}
+
+// A cordoned machine takes nothing new for a while; one with a service is left alone.
+TEST_F(PartitionSchedulerPlacement, CordonedMachinesTakeNothingNew) {
+  partition.add_machine("m-1", 12, true, 0);
+  partition.open_job(job("run-1", 1), 11, false, {});
+  partition.on_heartbeat(heartbeat("m-1"), 100);
+  partition.cordon(8, false, 100);
+  EXPECT_TRUE(partition.place_tasks("m-1", 100).empty());
+  EXPECT_EQ(partition.place_tasks("m-1", 100 + constants::kCordonMs).size(), 1u);
+}
+
+// A production service stops lower work here and starts in its room, in one answer.
+TEST_F(PartitionSchedulerPlacement, ServicePreemptsLowerPrioritiesInOneReply) {
+  partition.add_machine("m-1", 12, true, 0);
+  partition.open_job(job("run-1", 8), 11, false, {});
+  partition.on_heartbeat(heartbeat("m-1"), 100);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
+  const auto running = running_of(starts);
+  JobSpec service = job("run-2", 1);
+  service.kind = JobKind::service;
+  service.priority = Priority::production;
+  service.cpus = 2;
+  partition.open_job(service, 12, false, {});
+  partition.on_heartbeat(heartbeat("m-1", running), 200);
+  EXPECT_TRUE(partition.place_tasks("m-1", 200).empty());  // a moment for other machines
+  partition.on_heartbeat(heartbeat("m-1", running), 1200);
+  auto commands = partition.place_tasks("m-1", 1200);
+  ASSERT_EQ(commands.size(), 3u);
+  EXPECT_EQ(commands[0].type, CommandType::kill);
+  EXPECT_EQ(commands[1].type, CommandType::kill);
+  EXPECT_EQ(commands[2].type, CommandType::launch);
+  EXPECT_EQ(commands[2].job, "run-2");
+  EXPECT_EQ(commands[0].index, 7u);  // the youngest go
+}
+
+// Within its fair share a team reclaims what another has borrowed, and no more.
+TEST_F(PartitionSchedulerPlacement, FairShareIsReclaimedFromBorrowers) {
+  partition.add_machine("m-1", 12, true, 0);
+  partition.open_job(job("run-1", 8, "red"), 11, false, {});
+  partition.on_heartbeat(heartbeat("m-1"), 100);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
+  const auto running = running_of(starts);
+  partition.open_job(job("run-2", 8, "blue"), 12, false, {});
+  partition.on_heartbeat(heartbeat("m-1", running), 200);
+  EXPECT_TRUE(partition.place_tasks("m-1", 200).empty());
+  partition.on_heartbeat(heartbeat("m-1", running), 4200);
+  auto commands = partition.place_tasks("m-1", 4200);
+  int kills = 0, launches = 0;
+  for (const auto& command : commands) (command.type == CommandType::kill ? kills : launches)++;
+  EXPECT_EQ(kills, 4);  // red keeps its four
+  EXPECT_EQ(launches, 4);
+}
+
+// A job that nothing has been started of for long goes before all that is more urgent.
+TEST_F(PartitionSchedulerPlacement, StarvedJobGoesFirst) {
+  partition.add_machine("m-1", 12, true, 0);
+  JobSpec large = job("run-1", 40);
+  large.estimate_s = 1000;
+  large.deadline_s = 5000;
+  partition.open_job(large, 11, false, {}, constants::kStarvedMs + 1000);
+  JobSpec tight = job("run-2", 40);
+  tight.estimate_s = 5;
+  tight.deadline_s = 10;
+  partition.open_job(tight, 12, false, {});
+  partition.on_heartbeat(heartbeat("m-1"), 100);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_FALSE(starts.empty());
+  EXPECT_EQ(starts[0].job, "run-1");
+}
+
+// Work that borrows is not stopped sooner than the objective of the fair share asks for.
+TEST_F(PartitionSchedulerPlacement, FairShareIsReclaimedInTimeForItsObjective) {
+  SchedulingPolicy limits = kLimits;
+  limits.fair_share_start_ms = 15000;
+  PartitionScheduler patient{0, kToken, 0, limits, {{"red", 4, 12, 0, 0}, {"blue", 4, 12, 0, 0}}};
+  patient.set_types({box()});
+  patient.add_machine("m-1", 12, true, 0);
+  patient.open_job(job("run-1", 8, "red"), 11, false, {});
+  patient.on_heartbeat(heartbeat("m-1", {}, 12), 100);
+  const auto running = running_of(patient.place_tasks("m-1", 100));
+  ASSERT_EQ(running.size(), 8u);
+  patient.open_job(job("run-2", 4, "blue"), 12, false, {});
+  for (Ms now : {1000, 4000, 8000, 12000}) {
+    patient.on_heartbeat(heartbeat("m-1", running, 12), now);
+    EXPECT_TRUE(patient.place_tasks("m-1", now).empty()) << now;
+  }
+  patient.on_heartbeat(heartbeat("m-1", running, 12), 13500);
+  EXPECT_EQ(patient.place_tasks("m-1", 13500).size(), 8u);  // four stopped, four started
+}
+
+// What fits into room that is free elsewhere, on a machine that has not sent a heartbeat since, is
+// no reason to stop a borrower.
+TEST_F(PartitionSchedulerPlacement, NoBorrowerIsPreemptedWhileThereIsFreeCapacityElsewhere) {
+  partition.add_machine("m-1", 12, true, 0);
+  partition.add_machine("m-2", 12, true, 0);
+  partition.open_job(job("run-1", 8, "red"), 11, false, {});
+  partition.on_heartbeat(heartbeat("m-1"), 100);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
+  partition.on_heartbeat(heartbeat("m-2"), 200);
+  partition.tick(250);
+  partition.open_job(job("run-2", 4, "blue"), 12, false, {});
+  partition.on_heartbeat(heartbeat("m-1", running_of(starts)), 300);
+  partition.on_heartbeat(heartbeat("m-1", running_of(starts)), 4400);
+  EXPECT_TRUE(partition.place_tasks("m-1", 4400).empty());
+  EXPECT_EQ(partition.place_tasks("m-2", 4450).size(), 4u);
+}
+
+// Room that is held for a fetch does no work: a machine serves first what it has the image of, but
+// only within twice the fetch, so that nobody is passed over for long.
+TEST_F(PartitionSchedulerPlacement, JobsWithACachedImageGoFirstForAWhile) {
+  MachineType box{"box", 8, 0, 64, 100, 0.1, 1, 1, 10, {"a", "b"}};
+  partition.set_types({box});
+  partition.add_machine("m-1", 12, true, 0);
+  auto with_image = [](const char* id, const char* image) {
+    JobSpec spec = job(id, 8);
+    spec.image = image;
+    spec.image_gb = 1;  // 10 s
+    return spec;
+  };
+  partition.open_job(with_image("run-1", "red"), 11, false, {});
+  partition.on_heartbeat(heartbeat("m-1"), 100);
+  partition.tick(100);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 8u);
+  // Two jobs wait, the older one has another image.
+  partition.on_heartbeat(heartbeat("m-1", running_of(starts)), 5000);
+  partition.open_job(with_image("run-2", "blue"), 13, false, {});
+  partition.on_heartbeat(heartbeat("m-1", running_of(starts)), 10000);
+  partition.open_job(with_image("run-3", "red"), 14, false, {});
+  auto freed = [&](Ms now) {
+    auto tasks = running_of(starts);
+    tasks.back().phase = TaskPhase::exited;
+    tasks.back().exit_reason = ExitReason::done;
+    partition.on_heartbeat(heartbeat("m-1", tasks), now);
+    partition.heartbeat_answered("m-1", now);
+    partition.tick(now);
+    auto more = partition.place_tasks("m-1", now);
+    starts.pop_back();
+    starts.insert(starts.begin(), more.begin(), more.end());
+    return more.empty() ? "" : more[0].job;
+  };
+  EXPECT_EQ(freed(20000), "run-3");
+  partition.close_job("run-3");
+  partition.open_job(with_image("run-4", "red"), 15, false, {}, -20000);
+  EXPECT_EQ(freed(40000), "run-2");
+}
+
+// A task waits a moment for a free machine that has its image, and no longer.
+TEST_F(PartitionSchedulerPlacement, TaskWaitsBrieflyForAMachineWithItsImage) {
+  MachineType box{"box", 8, 0, 64, 100, 0.1, 1, 1, 10, {"a", "b"}};
+  partition.set_types({box});
+  JobSpec spec = job("run-1", 2);
+  spec.image = "red";
+  spec.image_gb = 1;
+  partition.add_machine("m-1", 12, true, 0);
+  partition.open_job(spec, 11, false, {});
+  partition.on_heartbeat(heartbeat("m-1"), 100);
+  auto starts = partition.place_tasks("m-1", 100);
+  ASSERT_EQ(starts.size(), 2u);
+  partition.add_machine("m-2", 13, true, 100);
+  partition.on_heartbeat(heartbeat("m-1", running_of(starts)), 200);
+  partition.on_heartbeat(heartbeat("m-2"), 300);
+  partition.tick(300);
+  spec.id = "run-2";
+  partition.open_job(spec, 14, false, {});
+  EXPECT_TRUE(partition.place_tasks("m-2", 400).empty());
+  EXPECT_EQ(partition.place_tasks("m-2", 300 + 1250).size(), 2u);
+}
+
+// What the leader hears of stated waits: the shortest among the arrays that the partition has.
+TEST_F(PartitionSchedulerPlacement, LoadIncludesTheShortestWaitObjective) {
+  EXPECT_EQ(partition.load(0).wait_s, 0);
+  JobSpec spec = job("run-1");
+  spec.jobclass = "prompt";
+  spec.kind = JobKind::service;
+  partition.open_job(spec, 11, false, {});
+  EXPECT_EQ(partition.load(0).wait_s, 0);
+  spec.id = "run-2";
+  spec.kind = JobKind::array;
+  partition.open_job(spec, 12, false, {});
+  EXPECT_EQ(partition.load(0).wait_s, 60);
+}
+
+}  // namespace
--- a/tests/standin/chains.h
+++ b/tests/standin/chains.h
@@ -31,6 +31,14 @@
   cluster.submit_chained(needing(cluster.job("run-3", "gold", 4, 1, run_s), {"run-2"}));
 }
 
+// What a node answers to a poll now, by way of the test's own question.
+inline void poll_into(SimulatedCluster& cluster, int node, const std::string& job,
+                      std::string& phase) {
+  cluster.poll_once(node, job, [&phase](int status, const std::string& told) {
+    phase = status == 200 ? told : std::to_string(status);
+  });
+}
+
 inline void expect_phase(SimulatedCluster& cluster, const std::vector<std::string>& ids,
                          const std::string& phase) {
   for (const auto& job : ids) EXPECT_EQ(cluster.phase(job), phase) << job;
--- a/tests/standin/expectations.h
+++ b/tests/standin/expectations.h
@@ -16,6 +16,11 @@
 }
 inline std::string address(const std::string& machine) { return "w-" + machine; }
 
+// Names the cases of a suite by their seeds.
+inline std::string seed_name(const testing::TestParamInfo<std::uint64_t>& info) {
+  return "Seed" + std::to_string(info.param);
+}
+
 // No rule is broken, and the day was one on which tasks started.
 inline void expect_rules_kept(SimulatedCluster& cluster, const std::string& day = "") {
   for (const auto& rule : cluster.checker().violations())
--- a/tests/standin/rule_checker.h
+++ b/tests/standin/rule_checker.h
@@ -50,6 +50,9 @@
   // Whether all jobs that this one needs are done.
   bool ready(const std::string& id) const;
 
+  // To be called now and then: what stays too long shows only with time.
+  void look(double now);
+
   const std::vector<std::string>& violations() const { return violations_; }
   std::size_t starts() const { return starts_; }
   // Starts of tasks whose user had been told that the job is cancelled.
@@ -82,10 +85,6 @@
   std::vector<std::string> violations_;
   std::size_t starts_ = 0, starts_after_cancel_ = 0;
   double over_at_ = -1;
-
- public:
-  // To be called now and then: what stays too long shows only with time.
-  void look(double now);
 };
 
 }  // namespace eiderreel::standin
--- a/tests/standin/simulated_cluster.h
+++ b/tests/standin/simulated_cluster.h
@@ -1,5 +1,5 @@
-// A stand-in for all that the service deals with, written from the published protocol: state
-// service, cloud, workers, users and the network between them, in simulated time. The same seed
+// A simulation of all that the service deals with, written from the published protocol: state
+// store, cloud, workers, users and the network between them, in simulated time. The same seed
 // gives the same run; nothing here looks at a clock.
 #pragma once
 #include <functional>
@@ -13,42 +13,14 @@
 #include <vector>
 
 #include "controller/controller.h"
+#include "standin/machine_model.h"
+#include "standin/options.h"
 #include "standin/rule_checker.h"
 #include "standin/simulated_state_store.h"
 #include "standin/version_checker.h"
 
 namespace eiderreel::standin {
 
-enum class CutMode { hold, reset };
-
-struct Options {
-  std::uint64_t seed = 1;
-  int nodes = 3;
-  double heartbeat_interval_s = 1, lease_s = 10, cancel_s = 40;
-  double state_rps = 200, state_write_rps = 100;
-  std::vector<Team> teams = {{"red", 16, 48, 0, 0}, {"blue", 16, 48, 0, 0}, {"gold", 16, 48, 0, 0}};
-  int machines = 6;  // of 8 CPUs, up from the start
-  int capacity = 4;  // further ones for rent, of each kind in each zone
-  double boot_s = 6;
-  double latency_ms = 4;  // of a message, at most
-  bool limits = false;    // whether the state store refuses above its rates
-  double value_kb = 8;    // of the state store
-  int txn_ops = 16;
-  // Limits of the state store that the controllers are told of, beside the ones in force.
-  std::optional<double> next_value_kb, next_write_rps;
-  std::optional<int> next_txn_ops;
-  std::set<int> old_nodes;           // controllers that start as the build before prerequisites
-  std::size_t changes_kept = 10000;  // by the state store, for followers
-  // What the operators' upgrade file says, the same for all controllers; without one, they take no
-  // partition in cluster versions.
-  std::optional<upgrade::UpgradeSettings> upgrades;
-  // Controllers that are processes of their own, reached by this; none is started in the simulated
-  // cluster.
-  std::function<void(int node, HttpRequest request, std::function<void(HttpReply)> done)> processes;
-  // The address at which a machine can be reached by such processes.
-  std::function<std::string(const std::string& machine)> worker_address;
-};
-
 class SimulatedCluster {
  public:
   using Done = std::function<void(HttpReply)>;
@@ -192,27 +164,9 @@
     Ms frozen_until = 0;
     std::shared_ptr<std::function<void()>> tick;
   };
-  struct Task {
-    std::uint64_t attempt = 0;
-    std::string phase, exit_reason;
-    double left_s = 0;
-  };
-  using TaskKey = std::pair<std::string, std::uint32_t>;
-  struct Worker {
-    std::string id, addr, zone;
-    bool spot = false;
-    bool up = false, gone = false, frozen = false, sick = false, stopped = false;
-    double rented_at = 0, up_at = 0, taken_at = -1;
-    std::uint64_t incarnation = 1, sequence = 0, epoch = 0;
-    std::map<TaskKey, Task> tasks;
-    std::set<std::string> images;
-    int node = 0;
-    Ms next_heartbeat = 0, last_sent = -100000, lease_from = 0;
-    Ms token_change_at = -100000;  // when a higher token last made it heartbeat at once
-    bool in_flight = false, changed = false;
-    std::uint64_t flight = 0;
-    std::vector<std::function<void()>> unread;  // commands that came while it hung
-  };
+  using Task = SimulatedTask;
+  using TaskKey = SimulatedTaskKey;
+  using Worker = SimulatedWorker;
 
   void schedule(Ms when, std::function<void()> action);
   void deliver(const std::string& from, const std::string& to, std::function<void()> action,
--- a/tests/trace_test.cc
+++ b/tests/trace/fault_trace_test.cc
@@ -1,58 +1,12 @@
-// Days in the simulated cluster, written down as traces and compared in full. Each checks the rules
-// of the protocol; the traces in tests/traces/ are for reading. To write them anew after a change
-// of behaviour: EIDERREEL_WRITE_TRACES=1 target/tests/eiderreel_tests, then read the difference.
-#include <array>
-#include <cstdlib>
-#include <fstream>
-#include <sstream>
-
-#include "standin/expectations.h"
+// Traces of days with one fault, or several, of controllers, machines, the state store and the
+// cloud; see fault_trace.h.
+#include "trace/fault_trace.h"
 
 using namespace eiderreel;
 using namespace eiderreel::standin;
 
 namespace {
 
-void expect_no_lease_ends(const SimulatedCluster& cluster) {
-  for (const auto& line : cluster.trace())
-    EXPECT_EQ(line.find("lease expired"), std::string::npos) << line;
-}
-
-struct FaultTrace : testing::Test {
-  void compare(SimulatedCluster& cluster, const std::string& name) {
-    expect_rules_kept(cluster);
-    std::string text;
-    for (const auto& line : cluster.trace()) text += line + "\n";
-    const std::string path = std::string(EIDERREEL_SOURCE_DIR) + "/tests/traces/" + name + ".txt";
-    if (std::getenv("EIDERREEL_WRITE_TRACES")) {
-      std::ofstream(path) << text;
-      return;
-    }
-    std::ifstream in(path);
-    std::stringstream kept;
-    kept << in.rdbuf();
-    EXPECT_EQ(kept.str(), text) << "the trace differs from " << path;
-  }
-  // A service and an array for each team.
-  static void usual_load(SimulatedCluster& cluster, double time_s) {
-    int n = 100;
-    for (const char* team : {"red", "blue", "gold"}) {
-      const std::string service = "run-" + std::to_string(++n);
-      const std::string array = "run-" + std::to_string(++n);
-      cluster.at(time_s, [&cluster, service, array, team] {
-        cluster.submit(cluster.service(service, team, 1, 2));
-        cluster.submit(cluster.job(array, team, 12, 1, 8));
-      });
-    }
-  }
-  static void expect_usual_load_ends(SimulatedCluster& cluster) {
-    for (const char* id : {"run-102", "run-104", "run-106"})
-      EXPECT_EQ(cluster.phase(id), "done") << id;
-    for (const char* id : {"run-101", "run-103", "run-105"})
-      EXPECT_EQ(cluster.tasks_on(id), 1u) << id;
-  }
-};
-
 TEST_F(FaultTrace, NoFaults) {
   SimulatedCluster cluster({});
   usual_load(cluster, 5);
@@ -167,63 +121,6 @@
   compare(cluster, "a_claim_is_lost");
 }
 
-class NetworkPartitionTrace : public FaultTrace, public testing::WithParamInterface<CutMode> {
- public:
-  std::string mode() const { return GetParam() == CutMode::hold ? "hold" : "reset"; }
-};
-
-TEST_P(NetworkPartitionTrace, LeaderIsIsolated) {
-  SimulatedCluster cluster({});
-  usual_load(cluster, 5);
-  cluster.at(9, [&] { cluster.cut({"n1"}, {SimulatedCluster::all()}, GetParam()); });
-  cluster.at(40, [&] { cluster.heal(); });
-  cluster.run_until(90);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "leader_cut_" + mode());
-}
-
-TEST_P(NetworkPartitionTrace, LeaderLosesTheStateStore) {
-  SimulatedCluster cluster({});
-  usual_load(cluster, 5);
-  cluster.at(9, [&] { cluster.cut({"n1"}, {"state"}, GetParam()); });
-  cluster.at(12, [&] { cluster.cancel("run-103"); });
-  cluster.at(40, [&] { cluster.heal(); });
-  cluster.run_until(90);
-  EXPECT_EQ(cluster.phase("run-103"), "cancelled");
-  EXPECT_EQ(cluster.phase("run-104"), "done");
-  compare(cluster, "leader_cut_from_state_" + mode());
-}
-
-// The peer links is down: users are still answered correctly by every node.
-TEST_P(NetworkPartitionTrace, PeerLinksAreDown) {
-  SimulatedCluster cluster({});
-  cluster.at(3, [&] { cluster.cut({"n0", "n1", "n2"}, {"n0", "n1", "n2"}, GetParam()); });
-  usual_load(cluster, 5);
-  cluster.at(20, [&] { cluster.cancel("run-101"); });
-  cluster.at(40, [&] { cluster.heal(); });
-  cluster.run_until(70);
-  EXPECT_EQ(cluster.phase("run-101"), "cancelled");
-  EXPECT_EQ(cluster.phase("run-104"), "done");
-  compare(cluster, "peer_links_down_" + mode());
-}
-
-// Heartbeats and commands held for longer than a lease arrive at last, and change nothing.
-TEST_P(NetworkPartitionTrace, MachinesAreIsolatedBeyondTheirLease) {
-  SimulatedCluster cluster({});
-  usual_load(cluster, 5);
-  cluster.at(9, [&] {
-    cluster.cut({"w-m-000000", "w-m-000001", "w-m-000002"}, {SimulatedCluster::all()}, GetParam());
-  });
-  cluster.at(30, [&] { cluster.heal(); });
-  cluster.run_until(90);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "machines_cut_" + mode());
-}
-
-INSTANTIATE_TEST_SUITE_P(Modes, NetworkPartitionTrace,
-                         testing::Values(CutMode::hold, CutMode::reset),
-                         [](const auto& i) { return i.param == CutMode::hold ? "Hold" : "Reset"; });
-
 TEST_F(FaultTrace, MachineDiesWithItsTasks) {
   SimulatedCluster cluster({});
   usual_load(cluster, 5);
@@ -345,19 +242,6 @@
   compare(cluster, "troubles_overlap");
 }
 
-// What everybody must hear once the faults are over, from every node, in seconds.
-void expect_all_answered(SimulatedCluster& cluster, const std::vector<std::string>& ids) {
-  std::size_t answered = 0;
-  for (const auto& id : ids)
-    for (int n = 0; n < 3; ++n)
-      cluster.poll_once(n, id, [&](int status, const std::string&) { answered += status == 200; });
-  cluster.run_until(cluster.now() + 2);
-  EXPECT_EQ(answered, ids.size() * 3);
-}
-
-const std::vector<std::string> kUsual = {"run-101", "run-102", "run-103",
-                                         "run-104", "run-105", "run-106"};
-
 // A machine's heartbeats arrive, but nothing reaches it; meanwhile its leader crashes. Its tasks go
 // on elsewhere, and it is not fed tasks that it cannot hear of.
 TEST_F(FaultTrace, MachineReceivesNothingButItsHeartbeatsArrive) {
@@ -379,7 +263,7 @@
   expect_usual_load_ends(cluster);
   for (int i = 1; i <= 6; ++i) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done");
   EXPECT_LT(cluster.launches_to(deaf), 16u);
-  expect_all_answered(cluster, kUsual);
+  expect_all_answered(cluster, kUsualJobs);
   compare(cluster, "a_deaf_machine");
 }
 
@@ -399,47 +283,10 @@
   EXPECT_EQ(cluster.phase("run-1"), "done");
   // No phantom: what the service counts as machines are those that are there.
   EXPECT_LE(cluster.node(0)->state_store().view().machines.size(), cluster.machines_up());
-  expect_all_answered(cluster, kUsual);
+  expect_all_answered(cluster, kUsualJobs);
   compare(cluster, "late_copies");
 }
 
-// A controller reaches its workers alone: it stops in time, they find the new leader before their
-// lease ends, and it comes back.
-TEST_P(NetworkPartitionTrace, LeaderReachesOnlyItsWorkers) {
-  SimulatedCluster cluster({});
-  usual_load(cluster, 5);
-  cluster.at(9, [&] { cluster.cut({"n1"}, {"state", "cloud", "n0", "n2", "user"}, GetParam()); });
-  cluster.at(50, [&] { cluster.heal(); });
-  cluster.run_until(90);
-  cluster.checker().faults_over(50);
-  expect_usual_load_ends(cluster);
-  expect_no_lease_ends(cluster);
-  expect_all_answered(cluster, kUsual);
-  compare(cluster, "only_workers_" + mode());
-}
-
-// A controller loses its workers alone. They are served by a peer before their leases end, and by
-// it again once it hears them.
-TEST_P(NetworkPartitionTrace, LeaderLosesItsWorkers) {
-  SimulatedCluster cluster({});
-  usual_load(cluster, 5);
-  std::set<std::string> workers;
-  for (int i = 0; i < 20; ++i) {
-    const std::string n = std::to_string(i);
-    workers.insert("w-m-" + std::string(6 - n.size(), '0') + n);
-  }
-  cluster.at(9, [&] { cluster.cut({"n1"}, workers, GetParam()); });
-  cluster.at(30, [&] { EXPECT_NE(cluster.leader_of(1), 1); });
-  cluster.at(50, [&] { cluster.heal(); });
-  cluster.run_until(90);
-  EXPECT_EQ(cluster.leader_of(1), 1);
-  cluster.checker().faults_over(50);
-  expect_usual_load_ends(cluster);
-  expect_no_lease_ends(cluster);
-  expect_all_answered(cluster, kUsual);
-  compare(cluster, "workers_lost_" + mode());
-}
-
 // A controller pauses for longer than its lease, then wakes with all that came meanwhile in
 // its buffers. It must not act for its partition, which has another leader by then.
 TEST_F(FaultTrace, ControllerPausesBeyondItsLease) {
@@ -491,7 +338,7 @@
   cluster.run_until(140);
   cluster.checker().faults_over(50);
   expect_usual_load_ends(cluster);
-  expect_all_answered(cluster, kUsual);
+  expect_all_answered(cluster, kUsualJobs);
   compare(cluster, "back_in_mid_election");
 }
 
@@ -521,77 +368,4 @@
   compare(cluster, "overload");
 }
 
-// At size: all controllers end at once, and a single one is back for a while; then a rack falls
-// with all that is on it, and new machines come up together. No lease ends but those of the rack,
-// and nobody is forgotten.
-TEST(AtScale, OneControllerServesAllAndARackFails) {
-  Options options;
-  options.machines = 120;
-  options.capacity = 40;
-  options.limits = true;
-  options.state_rps = 180;
-  options.state_write_rps = 60;
-  options.teams = {{"red", 320, 640, 0, 0}, {"blue", 320, 640, 0, 0}, {"gold", 320, 640, 0, 0}};
-  SimulatedCluster cluster(options);
-  std::vector<std::string> ids;
-  for (int i = 0; i < 90; ++i) {
-    ids.push_back("run-" + std::to_string(i));
-    const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(i % 3)];
-    cluster.at(15 + i * 0.5, [&cluster, id = ids.back(), team] {
-      cluster.submit(cluster.job(id, team, 20, 1, 10));
-    });
-  }
-  cluster.at(25, [&] {
-    cluster.crash(0, 20);
-    cluster.crash(1, 20);
-    cluster.crash(2, 0.3);
-  });
-  cluster.run_until(50);
-  expect_no_lease_ends(cluster);
-  for (int i = 0; i < 40; ++i) cluster.kill_machine(machine(i));
-  cluster.run_until(150);
-  cluster.checker().faults_over(60);
-  expect_rules_kept(cluster);
-  for (const auto& id : ids) EXPECT_EQ(cluster.phase(id), "done") << id;
-  expect_all_answered(cluster, ids);
-}
-
-// At size: machines that come up together cost few transactions, and users are not kept waiting by
-// the progress of arrays, within a state store that refuses what is over its rate.
-struct Strain {
-  double changes_a_second, slowest_acceptance_s;
-  std::size_t refused;
-};
-
-class TokenBucket : public testing::TestWithParam<Strain> {};
-
-TEST_P(TokenBucket, UserRequestsTakePrecedenceOverProgress) {
-  Options options;
-  options.machines = 90;
-  options.limits = true;
-  options.state_write_rps = GetParam().changes_a_second;
-  options.state_rps = 60;
-  options.teams = {{"red", 160, 240, 0, 0}, {"blue", 160, 240, 0, 0}, {"gold", 160, 240, 0, 0}};
-  SimulatedCluster cluster(options);
-  cluster.run_until(25);
-  EXPECT_LT(cluster.commits(), 60u);  // for 90 machines, 3 partitions and 3 nodes
-  int n = 0;
-  for (int time_s = 25; time_s < 85; ++time_s)
-    for (const char* team : {"red", "blue", "gold"}) {
-      const std::string id = "run-" + std::to_string(++n);
-      if (n % 4 == 0)
-        cluster.at(time_s,
-                   [&cluster, id, team] { cluster.submit(cluster.job(id, team, 40, 1, 10)); });
-    }
-  cluster.run_until(140);
-  expect_rules_kept(cluster);
-  EXPECT_LT(cluster.slowest_acceptance(), GetParam().slowest_acceptance_s);
-  EXPECT_LT(cluster.refused_over_limit(), GetParam().refused);
-  for (int i = 4; i <= n; i += 4) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done") << i;
-}
-
-// At 12 changes a second progress alone would take more than there is: 1.2 s when it goes first.
-INSTANTIATE_TEST_SUITE_P(Rates, TokenBucket,
-                         testing::Values(Strain{20, 0.3, 30}, Strain{12, 0.9, 60}));
-
 }  // namespace
--- a/tests/upgrade/conversion_test.cc
+++ b/tests/upgrade/conversion_test.cc
@@ -320,7 +320,7 @@
 TEST_P(Conversion, ContinuesThroughFailoversCompletionsAndCancellations) {
   UpgradeCluster cluster(seeded_options());
   submit_lasting(cluster, 30);
-  submit_arrays(cluster, 5, 70, 2);
+  submit_arrays(cluster, {5, 70, 2});
   cluster.advance_to(30, ClusterVersion::convert);
   for (int n = 0; n < 30; n += 4)
     cluster.at(36.1 + 0.3 * n, [&cluster, n] { cluster.cancel("run-" + std::to_string(n)); });
@@ -332,8 +332,7 @@
   cluster.ask_now(1, Action::finalize);
   cluster.run_until(190);
   EXPECT_EQ(cluster.cluster_version(), 4u) << cluster.replies().back().body;
-  expect_arrays_ended(cluster, 5, 70, 2);
-  expect_rules_kept(cluster);
+  expect_arrays_ended_and_rules_kept(cluster, {5, 70, 2});
 }
 
 // A value in neither form: the tasks that it may have told of are not taken for done, it stays as
@@ -363,6 +362,6 @@
   expect_rules_kept(cluster);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Conversion, testing::Values(1, 2, 3));
+INSTANTIATE_TEST_SUITE_P(Seeds, Conversion, testing::Values(1, 2, 3), seed_name);
 
 }  // namespace
--- a/tests/upgrade/random_upgrades_test.cc
+++ b/tests/upgrade/random_upgrades_test.cc
@@ -20,7 +20,7 @@
  public:
   explicit RandomUpgrade(std::uint64_t number)
       : random_(number * 6151), cluster_(upgrade_options(number)) {
-    submit_arrays(cluster_, 3, 125, 2.5);
+    submit_arrays(cluster_, {3, 125, 2.5});
     for (double time_s = kBegins; time_s < kFaultsEnd; time_s += number_in(1, 6))
       add_request(time_s);
     for (double time_s = kBegins; time_s < kFaultsEnd - 20; time_s += number_in(4, 14))
@@ -121,8 +121,7 @@
     compact += cluster.versions().progress_written(true);
     for (int node = 0; node < 3; ++node)
       EXPECT_EQ(cluster.acting(node), cluster.cluster_version()) << name;
-    expect_arrays_ended(cluster, 3, 125, 2.5);
-    expect_rules_kept(cluster, name);
+    expect_arrays_ended_and_rules_kept(cluster, {3, 125, 2.5}, name);
     if (testing::Test::HasFailure()) std::printf("failures up to %s\n", name.c_str());
   }
   EXPECT_GT(steps, static_cast<std::size_t>(2 * (last - first + 1))) << "the days meet steps";
--- /dev/null
+++ b/tests/upgrade/rolling_upgrade_faults_test.cc
@@ -0,0 +1,133 @@
+// Faults of controllers and of the state store at every point of a step.
+#include "upgrade/rolling_upgrade.h"
+
+using namespace eiderreel;
+using namespace eiderreel::standin;
+
+namespace {
+
+class RollingUpgradeFaults : public RollingUpgrade {};
+
+// The controller that drives a step is killed, or pauses beyond its lease, at many moments of
+// it: before the commit is sent, between the commit and its answer, and after.
+TEST_P(RollingUpgradeFaults, CoordinatorFailsAtEveryPointOfAStep) {
+  for (const bool frozen : {false, true}) {
+    for (int ms = 0; ms <= 24; ms += 3) {
+      UpgradeCluster cluster(seeded_options());
+      submit_arrays(cluster, {5, 30});
+      cluster.at(15, [&] { cluster.ask_now(0, Action::advance, {}, "the-step"); });
+      cluster.at(15 + ms / 1000.0, [&] {
+        if (frozen)
+          cluster.freeze(0, 9);
+        else
+          cluster.crash(0, 3);
+      });
+      // Another controller knows the outcome: the same request again finds its own step.
+      std::uint64_t landed = 0;
+      cluster.at(17, [&] { landed = cluster.cluster_version(); });
+      cluster.at(40, [&] { cluster.ask_now(1, Action::advance, {}, "the-step"); });
+      cluster.run_until(90);
+      EXPECT_EQ(cluster.cluster_version(), 2u) << ms;
+      EXPECT_EQ(cluster.reply_to("the-step").status, 200) << ms << " landed at first: " << landed;
+      expect_arrays_ended_and_rules_kept(cluster, {5, 30}, std::to_string(ms));
+    }
+  }
+}
+
+TEST_P(RollingUpgradeFaults, FollowerFailsAtEveryPointOfAStep) {
+  for (const bool frozen : {false, true}) {
+    for (int ms = 0; ms <= 240; ms += 40) {
+      UpgradeCluster cluster(seeded_options());
+      submit_arrays(cluster, {5, 40});
+      cluster.advance_to(10, ClusterVersion::write_compact);
+      cluster.ask(18, 0, Action::advance);
+      cluster.at(18 + ms / 1000.0, [&] {
+        if (frozen)
+          cluster.freeze(1, 9);
+        else
+          cluster.crash(1, 0.5);
+      });
+      cluster.run_until(110);
+      EXPECT_EQ(cluster.cluster_version(), 3u) << ms;
+      EXPECT_EQ(cluster.acting(1), 3u) << ms;
+      expect_arrays_ended_and_rules_kept(cluster, {5, 40}, std::to_string(ms));
+    }
+  }
+}
+
+TEST_P(RollingUpgradeFaults, StateStoreRejectsOneControllerDuringAStep) {
+  for (int refused = 0; refused < 2; ++refused) {
+    UpgradeCluster cluster(seeded_options());
+    submit_arrays(cluster, {5, 50});
+    cluster.advance_to(10, ClusterVersion::write_compact);
+    cluster.at(19.99, [&] { cluster.state_refuses(refused, true); });
+    cluster.ask(20, 0, Action::advance);
+    cluster.at(35, [&] { cluster.state_refuses(refused, false); });
+    cluster.ask(50, 0, Action::advance);
+    cluster.run_until(120);
+    ASSERT_GE(cluster.replies().size(), 2u);
+    EXPECT_EQ(cluster.replies()[1].status, refused == 0 ? 503 : 200);
+    EXPECT_EQ(cluster.cluster_version(), 3u);
+    EXPECT_EQ(cluster.acting(refused), 3u);
+    expect_arrays_ended_and_rules_kept(cluster, {5, 50});
+  }
+}
+
+TEST_P(RollingUpgradeFaults, StateStoreOutageDuringAStep) {
+  UpgradeCluster cluster(seeded_options());
+  submit_arrays(cluster, {5, 50});
+  cluster.advance_to(10, ClusterVersion::write_compact);
+  cluster.ask(19.995, 0, Action::advance);
+  cluster.at(20, [&] { cluster.state_outage(true); });
+  cluster.at(32, [&] { cluster.state_outage(false); });
+  double told_at = 0;
+  cluster.at(30, [&] { told_at = cluster.replies().size() == 2 ? 1 : 0; });
+  cluster.run_until(40);
+  EXPECT_EQ(told_at, 1) << "an answer within a bounded time";
+  if (cluster.cluster_version() == 2) cluster.ask_now(1, Action::advance);
+  cluster.run_until(120);
+  EXPECT_EQ(cluster.cluster_version(), 3u);
+  expect_arrays_ended_and_rules_kept(cluster, {5, 50});
+}
+
+// The step gets no answer and lands seconds later, or never: the operator is told that this is not
+// known, and the durable version says it in the end.
+TEST_P(RollingUpgradeFaults, StepWithUnknownOutcomeIsNotRepeatedBlindly) {
+  UpgradeCluster cluster(seeded_options());
+  submit_arrays(cluster, {5, 50});
+  cluster.at(19.9, [&] { cluster.late_writes({1, 2, 12}); });
+  cluster.at(20, [&] { cluster.ask_now(0, Action::advance, {}, "late"); });
+  OperatorReply status;
+  cluster.at(30, [&] {
+    EXPECT_EQ(cluster.reply_to("late").status, 504);
+    EXPECT_TRUE(cluster.reply_to("late").has("\"outcome\":\"unknown\""));
+    cluster.late_writes({});
+    cluster.raw(0, "GET", "/upgrade/status", "", [&](int code, std::string body) {
+      status = {code, std::move(body)};
+    });
+  });
+  cluster.run_until(50);
+  EXPECT_EQ(cluster.cluster_version(), 2u);
+  EXPECT_TRUE(status.has("\"step_in_doubt\":\"late\"") || status.has("\"last_request\":\"late\""));
+  EXPECT_EQ(cluster.versions().versions(), (std::vector<std::uint64_t>{1, 2})) << "it landed once";
+  cluster.run_until(120);
+  expect_arrays_ended_and_rules_kept(cluster, {5, 50});
+}
+
+// Commits are carried out late while the version goes up and down.
+TEST_P(RollingUpgradeFaults, DelayedCommitsLandUnderLaterVersions) {
+  UpgradeCluster cluster(seeded_options());
+  submit_arrays(cluster, {5, 80, 1.5});
+  cluster.at(8, [&] { cluster.late_writes({0.25, 2, 12}); });
+  for (int n = 0; n < 14; ++n)
+    cluster.ask(12 + 5.0 * n, n % 3, n % 4 < 2 ? Action::advance : Action::abort);
+  cluster.at(85, [&] { cluster.late_writes({}); });
+  cluster.run_until(190);
+  EXPECT_GT(cluster.landed_late(), 0u);
+  EXPECT_GT(cluster.versions().versions().size(), 4u);
+  expect_arrays_ended_and_rules_kept(cluster, {5, 80, 1.5});
+}
+
+INSTANTIATE_TEST_SUITE_P(Seeds, RollingUpgradeFaults, testing::Values(1, 2, 3), seed_name);
+
+}  // namespace
--- /dev/null
+++ b/tests/upgrade/rolling_upgrade_restarts_test.cc
@@ -0,0 +1,162 @@
+// Controllers that are absent, paused or restarted with another build while the cluster version
+// changes.
+#include "upgrade/rolling_upgrade.h"
+
+using namespace eiderreel;
+using namespace eiderreel::standin;
+
+namespace {
+
+class RollingUpgradeRestarts : public RollingUpgrade {};
+
+TEST_P(RollingUpgradeRestarts, AbsentControllerBlocksAStepUnlessExcluded) {
+  UpgradeCluster cluster(seeded_options());
+  submit_arrays(cluster, {5, 50});
+  cluster.at(10, [&] { cluster.crash(2, 30); });
+  cluster.ask(20, 0, Action::advance);
+  cluster.at(21, [&] {
+    EXPECT_EQ(cluster.cluster_version(), 1u);
+    ASSERT_EQ(cluster.replies().size(), 1u);
+    EXPECT_EQ(cluster.replies().back().status, 409);
+    EXPECT_TRUE(cluster.replies().back().has("\"controller\":\"n2\""));
+  });
+  cluster.ask(22, 0, Action::advance, {"n2"});
+  cluster.ask(28, 0, Action::advance, {"n1"});  // it runs, so it cannot be left out
+  cluster.run_until(30);
+  EXPECT_EQ(cluster.cluster_version(), 2u);
+  EXPECT_TRUE(cluster.replies().back().has("is running"));
+  cluster.run_until(120);
+  EXPECT_EQ(cluster.acting(2), 2u) << "it is back, under the version of the others";
+  expect_arrays_ended_and_rules_kept(cluster, {5, 50});
+}
+
+// Its record is on its way, naming version 1, while the cluster goes on by two steps without it.
+TEST_P(RollingUpgradeRestarts, LateNodeRecordNamesNoSupersededVersion) {
+  UpgradeCluster cluster(seeded_options());
+  submit_arrays(cluster, {5, 50});
+  cluster.at(10, [&] { cluster.crash(1, 12); });
+  cluster.at(22, [&] {
+    cluster.late_writes({1, 2.2, 2.4});
+  });  // those of the others too, for a moment
+  cluster.at(22.3, [&] { cluster.late_writes({}); });
+  cluster.ask(22.5, 0, Action::advance, {"n1"});
+  cluster.ask(23.2, 0, Action::advance, {"n1"});
+  cluster.run_until(23.6);
+  EXPECT_EQ(cluster.cluster_version(), 3u) << cluster.replies().back().body;
+  EXPECT_EQ(cluster.acting(1), 0u) << "its record has not landed yet";
+  cluster.run_until(110);
+  EXPECT_EQ(cluster.acting(1), 3u);
+  expect_arrays_ended_and_rules_kept(cluster, {5, 50});
+}
+
+// It pauses for longer than its lease, the cluster goes on without it by two steps, and then
+// it wakes up with what it was about to write.
+TEST_P(RollingUpgradeRestarts, PausedControllerWritesNothingUnderASupersededVersion) {
+  UpgradeCluster cluster(seeded_options());
+  submit_arrays(cluster, {2, 60, 1});
+  const double frozen_at = 20 + 0.137 * static_cast<double>(GetParam());
+  cluster.at(frozen_at - 3, [&] { cluster.late_writes({0.3, 2, 30}); });
+  cluster.at(frozen_at, [&] {
+    cluster.late_writes({});
+    cluster.freeze(1, 25);
+  });
+  cluster.ask(frozen_at + 8, 0, Action::advance, {"n1"});
+  cluster.ask(frozen_at + 14, 0, Action::advance, {"n1"});
+  cluster.run_until(frozen_at + 22);
+  EXPECT_EQ(cluster.cluster_version(), 3u);
+  cluster.run_until(150);
+  EXPECT_EQ(cluster.acting(1), 3u);
+  expect_arrays_ended_and_rules_kept(cluster, {2, 60, 1});
+}
+
+TEST_P(RollingUpgradeRestarts, RestartWithAnOlderBuildStandsBy) {
+  for (const auto version : {ClusterVersion::write_compact, ClusterVersion::convert}) {
+    UpgradeCluster cluster(seeded_options());
+    submit_arrays(cluster, {5, 60});
+    cluster.advance_to(10, version);
+    cluster.at(30, [&] { cluster.install(1, ClusterVersion::base, 2); });
+    cluster.run_until(45);
+    EXPECT_EQ(cluster.acting(1), 0u);
+    EXPECT_NE(cluster.leader_of(1), 1) << "its partition goes to another";
+    EXPECT_NE(cluster.leader_of(1), -1);
+    OperatorReply ready, status;
+    cluster.raw(1, "GET", "/ready", "", [&](int code, std::string body) {
+      ready = {code, std::move(body)};
+    });
+    cluster.raw(1, "GET", "/status", "", [&](int code, std::string body) {
+      status = {code, std::move(body)};
+    });
+    cluster.run_until(46);
+    EXPECT_EQ(ready.status, 503);
+    EXPECT_TRUE(status.has("this build knows 1 to 1")) << status.body;
+    cluster.run_until(70);
+    cluster.ask_now(0, Action::abort);
+    cluster.run_until(76);
+    if (version == ClusterVersion::convert) cluster.ask_now(0, Action::abort);
+    cluster.run_until(150);
+    EXPECT_EQ(cluster.cluster_version(), 1u);
+    EXPECT_EQ(cluster.acting(1), 1u) << "it acts again";
+    EXPECT_EQ(cluster.leader_of(1), 1);
+    expect_arrays_ended_and_rules_kept(cluster, {5, 60});
+  }
+}
+
+TEST_P(RollingUpgradeRestarts, RestartWithAnOlderBuildAfterTheFinalStepStandsByForGood) {
+  UpgradeCluster cluster(seeded_options());
+  submit_arrays(cluster, {5, 60});
+  cluster.advance_to(10, ClusterVersion::compact_only);
+  cluster.at(35, [&] { cluster.install(1, ClusterVersion::convert, 2); });
+  cluster.run_until(60);
+  EXPECT_EQ(cluster.cluster_version(), 4u);
+  EXPECT_EQ(cluster.acting(1), 0u);
+  cluster.install(1, upgrade::kNewestVersion, 2);
+  cluster.run_until(140);
+  EXPECT_EQ(cluster.acting(1), 4u);
+  expect_arrays_ended_and_rules_kept(cluster, {5, 60});
+}
+
+// The commit of the step compares the records, so one that was replaced meanwhile stops it.
+TEST_P(RollingUpgradeRestarts, RestartWithAnOlderBuildDuringAStepBlocksItOrStandsBy) {
+  for (const double offset : {-0.3, -0.05, -0.01, 0.0, 0.004, 0.01, 0.05}) {
+    UpgradeCluster cluster(seeded_options());
+    submit_arrays(cluster, {5, 30});
+    cluster.ask(10, 0, Action::advance);
+    cluster.at(18, [&] { cluster.state_slow(0.4); });
+    cluster.ask(20, 0, Action::advance);
+    cluster.at(20 + offset, [&] { cluster.install(2, ClusterVersion::base, 0.05); });
+    cluster.at(24, [&] { cluster.state_slow(0); });
+    cluster.run_until(90);
+    EXPECT_EQ(cluster.acting(2), 0u) << "it cannot act under version 2 either";
+    expect_arrays_ended_and_rules_kept(cluster, {5, 30}, std::to_string(offset));
+  }
+}
+
+// A build from before cluster versions knows nothing of them: a step is refused while one is known,
+// and where one comes back later it does no harm to jobs.
+TEST_P(RollingUpgradeRestarts, UnversionedBuildsBlockSteps) {
+  Options options = seeded_options();
+  options.old_nodes = {0, 1, 2};
+  UpgradeCluster cluster(options);
+  submit_arrays(cluster, {5, 60});
+  cluster.at(12, [&] { cluster.upgrade(0, 1); });
+  cluster.at(20, [&] { cluster.upgrade(1, 1); });
+  cluster.ask(26, 0, Action::advance);
+  cluster.at(27, [&] {
+    ASSERT_EQ(cluster.replies().size(), 1u);
+    EXPECT_TRUE(cluster.replies()[0].has("from before cluster versions"));
+    EXPECT_EQ(cluster.cluster_version(), 1u);
+  });
+  cluster.at(30, [&] { cluster.upgrade(2, 1); });
+  cluster.advance_to(38, ClusterVersion::convert);
+  cluster.at(52, [&] { cluster.downgrade(2, 1); });  // against the rules of an upgrade
+  cluster.run_until(70);
+  cluster.ask_now(0, Action::finalize);
+  cluster.at(75, [&] { cluster.upgrade(2, 1); });
+  cluster.run_until(150);
+  EXPECT_EQ(cluster.replies().back().status, 409);
+  expect_arrays_ended_and_rules_kept(cluster, {5, 60});
+}
+
+INSTANTIATE_TEST_SUITE_P(Seeds, RollingUpgradeRestarts, testing::Values(1, 2, 3), seed_name);
+
+}  // namespace
--- a/tests/upgrade/upgrade_cluster.h
+++ b/tests/upgrade/upgrade_cluster.h
@@ -114,11 +114,24 @@
   std::map<std::string, OperatorReply> by_request_;
 };
 
-// Arrays of every team all the time, whose tasks end far apart, some of them cancelled.
-inline void submit_arrays(SimulatedCluster& cluster, double from, double to, double every = 3) {
+// Arrays of every team, one after the other; every sixth is cancelled while it runs.
+struct ArrayLoad {
+  double from_s = 0, to_s = 0, every_s = 3;
+
+  int count() const {
+    int jobs = 0;
+    for (double time_s = from_s; time_s < to_s; time_s += every_s) ++jobs;
+    return jobs;
+  }
+  static std::string id(int n) { return "run-" + std::to_string(1000 + n); }
+  static bool is_cancelled(int n) { return n % 6 == 5; }
+};
+
+// The tasks of each array end far apart, so that its progress is written many times.
+inline void submit_arrays(SimulatedCluster& cluster, const ArrayLoad& load) {
   int n = 0;
-  for (double time_s = from; time_s < to; time_s += every, ++n) {
-    const std::string id = "run-" + std::to_string(1000 + n);
+  for (double time_s = load.from_s; time_s < load.to_s; time_s += load.every_s, ++n) {
+    const std::string id = ArrayLoad::id(n);
     const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(n % 3)];
     cluster.at(time_s, [&cluster, id, team, n] {
       std::vector<double> run_s;
@@ -126,18 +139,24 @@
       cluster.submit(cluster.job(id, team, 16, 0.5, 10));
       cluster.set_run_s(id, run_s);
     });
-    if (n % 6 == 5) cluster.at(time_s + 8, [&cluster, id] { cluster.cancel(id); });
+    if (ArrayLoad::is_cancelled(n)) cluster.at(time_s + 8, [&cluster, id] { cluster.cancel(id); });
   }
 }
 
-inline void expect_arrays_ended(SimulatedCluster& cluster, double from, double to,
-                                double every = 3) {
-  int n = 0;
-  for (double time_s = from; time_s < to; time_s += every, ++n) {
-    const std::string id = "run-" + std::to_string(1000 + n);
+inline void expect_arrays_ended(SimulatedCluster& cluster, const ArrayLoad& load) {
+  for (int n = 0; n < load.count(); ++n) {
+    const std::string id = ArrayLoad::id(n);
     const std::string phase = cluster.phase(id);
-    EXPECT_TRUE(phase == "done" || (n % 6 == 5 && phase == "cancelled")) << id << " is " << phase;
+    EXPECT_TRUE(phase == "done" || (ArrayLoad::is_cancelled(n) && phase == "cancelled"))
+        << id << " is " << phase;
   }
 }
 
+// What every day of an upgrade under load closes with.
+inline void expect_arrays_ended_and_rules_kept(SimulatedCluster& cluster, const ArrayLoad& load,
+                                               const std::string& day = "") {
+  expect_arrays_ended(cluster, load);
+  expect_rules_kept(cluster, day);
+}
+
 }  // namespace eiderreel::standin
