--- a/src/codec/json_fields.h
+++ b/src/codec/json_fields.h
@@ -97,6 +97,9 @@
     if (!error_ && !valid) error_ = DecodeError{DecodeFault::missing_or_invalid, name, ""};
   }
 
+  /// Whether any field was refused so far.
+  bool failed() const { return error_.has_value(); }
+
   /// The value that was read from the fields, or the first fault.
   template <class T>
   Decoded<T> result(T value) const {
--- a/src/codec/state_json.cc
+++ b/src/codec/state_json.cc
@@ -91,20 +91,21 @@
     reader.required(wire::store::kPut, row.key);
   reader.required(wire::store::kRevision, row.revision);
   const Value* value = field(object, wire::store::kValue);
-  if (!row.deleted && value != nullptr) read_value(*value, row);
+  if (!reader.failed() && !row.deleted && value != nullptr) read_value(*value, row);
   return reader.result(std::move(row));
 }
 
 Decoded<StateList> parse_rows(const std::string& body, const char* name) {
   const auto document = parse_object(body);
   if (!document) return tl::unexpected(document.error());
-  auto rows = parse_objects(*document, name, read_row);
-  if (!rows) return tl::unexpected(rows.error());
   FieldReader reader(*document);
   StateList list;
-  list.rows = std::move(*rows);
   reader.required(wire::store::kStoreRevision, list.store_revision);
   reader.optional(wire::store::kMore, list.more);
+  if (reader.failed()) return reader.result(std::move(list));
+  auto rows = parse_objects(*document, name, read_row);
+  if (!rows) return tl::unexpected(rows.error());
+  list.rows = std::move(*rows);
   return reader.result(std::move(list));
 }
 
