--- a/src/state_store/request_queue.cc
+++ b/src/state_store/request_queue.cc
@@ -33,21 +33,15 @@
     refuse(std::move(request.done));
     return;
   }
-  HttpRequest http{.addr = settings_.state_addr,
-                   .method = std::move(request.method),
-                   .path = std::move(request.path),
-                   .body = std::move(request.body),
-                   .timeout = request.timeout};
-  enqueue({.request = std::move(http),
-           .changes = request.changes,
-           .priority = request.priority,
-           .expires = runtime_.now() + request.timeout,
-           .done = std::move(request.done)});
+  const Ms expires = runtime_.now() + request.timeout;
+  enqueue({.request = std::move(request), .expires = expires});
 }
 
 void RequestQueue::enqueue(Pending pending) {
   auto position = queue_.end();
-  while (position != queue_.begin() && std::prev(position)->priority > pending.priority) --position;
+  while (position != queue_.begin() &&
+         std::prev(position)->request.priority > pending.request.priority)
+    --position;
   queue_.insert(position, std::move(pending));
   send_allowed();
 }
@@ -65,32 +59,40 @@
   rate_limiter_.refill(now);
   while (!queue_.empty()) {
     Pending& front = queue_.front();
-    if (front.expires <= now && front.priority != RequestPriority::urgent) {
-      auto done = std::move(front.done);
+    if (front.expires <= now && front.request.priority != RequestPriority::urgent) {
+      auto done = std::move(front.request.done);
       queue_.pop_front();
       refuse(std::move(done));
       continue;
     }
-    if (!rate_limiter_.allows(front.priority, front.changes)) return;
-    rate_limiter_.take(front.changes);
+    if (!rate_limiter_.allows(front.request.priority, front.request.changes)) return;
+    rate_limiter_.take(front.request.changes);
     Pending next = std::move(front);
     queue_.pop_front();
     send(std::move(next));
   }
 }
 
+HttpRequest RequestQueue::http_request(const StoreRequest& request) const {
+  return {.addr = settings_.state_addr,
+          .method = request.method,
+          .path = request.path,
+          .body = request.body,
+          .timeout = request.timeout};
+}
+
 void RequestQueue::send(Pending pending) {
   auto sent = std::make_shared<Pending>(std::move(pending));
-  runtime_.http(sent->request, [this, sent](const HttpReply& reply) {
+  runtime_.http(http_request(sent->request), [this, sent](const HttpReply& reply) {
     ++counters_.replies[reply.status];
     if (is_executed(reply.status)) last_good_ = runtime_.now();
     // Over the limit after all: nothing was done, so it may go again as it is.
-    if (reply.status == http_status::kTooManyRequests && sent->priority == RequestPriority::user &&
-        runtime_.now() < sent->expires) {
+    if (reply.status == http_status::kTooManyRequests &&
+        sent->request.priority == RequestPriority::user && runtime_.now() < sent->expires) {
       runtime_.after(k::kOverLimitMs, [this, sent] { enqueue(std::move(*sent)); });
       return;
     }
-    sent->done(reply);
+    sent->request.done(reply);
   });
 }
 
--- a/src/state_store/request_queue.h
+++ b/src/state_store/request_queue.h
@@ -53,16 +53,14 @@
 
  private:
   struct Pending {
-    HttpRequest request;
-    int changes = 0;
-    RequestPriority priority = RequestPriority::user;
-    Ms expires = 0;
-    std::function<void(const HttpReply&)> done;
+    StoreRequest request;
+    Ms expires = 0;  // when it has waited for its whole timeout
   };
   bool is_full() const;
   void enqueue(Pending pending);
   void refuse(std::function<void(const HttpReply&)> done);
   void send(Pending pending);
+  HttpRequest http_request(const StoreRequest& request) const;
 
   Runtime& runtime_;
   const Settings& settings_;
