--- a/src/leadership/job_finalizer.cc
+++ b/src/leadership/job_finalizer.cc
@@ -85,7 +85,7 @@
   std::vector<std::string> due;
   for (const auto& [job, persistence] : led.persistence)
     if (persistence.cancel_asked && !persistence.in_flight && !led.scheduler->has_job(job) &&
-        open_jobs.count(job) && retry_due(persistence))
+        open_jobs.contains(job) && retry_due(persistence))
       due.push_back(job);
   for (const auto& job : due) commit(led, job, [](int, const std::string&) {});
 }
--- a/src/leadership/led_partitions.h
+++ b/src/leadership/led_partitions.h
@@ -24,7 +24,7 @@
   LedPartition* find(const LeadershipTerm& term);
   /// Null: it is not led here, or this controller may not act for it now.
   LedPartition* find_acting(int partition);
-  bool contains(int partition) const { return led_.count(partition) > 0; }
+  bool contains(int partition) const { return led_.contains(partition); }
   bool empty() const { return led_.empty(); }
 
   /// Invariant 6: whether the partition is active here and this controller is surely its leader.
--- a/src/leadership/machine_transfers.cc
+++ b/src/leadership/machine_transfers.cc
@@ -19,7 +19,7 @@
   Machines batch;
   for (const auto& machine :
        scheduler.idle_machines(request.spot, request.cpus, release, runtime_.now())) {
-    if (!state_store_.view().machines.count(machine) || !scheduler.begin_transfer(machine))
+    if (!state_store_.view().machines.contains(machine) || !scheduler.begin_transfer(machine))
       continue;
     batch.push_back(machine);
     if (static_cast<int>(batch.size()) < settings_.batch()) continue;
--- a/src/leadership/partition_activation.cc
+++ b/src/leadership/partition_activation.cc
@@ -55,7 +55,7 @@
     const std::string job = codec::done_key_job(row.key);
     // Progress is written under a claim: of a job accepted before ours, so one that is not open is
     // over.
-    if (!jobs.count(job)) {
+    if (!jobs.contains(job)) {
       led.garbage_keys.push_back(row.key);
       continue;
     }
--- a/src/leadership/partition_claims.cc
+++ b/src/leadership/partition_claims.cc
@@ -8,7 +8,7 @@
 namespace k = constants;
 
 bool PartitionClaims::may_land(int partition) const {
-  return claiming_.count(partition) > 0 || in_doubt_.count(partition) > 0;
+  return claiming_.contains(partition) || in_doubt_.contains(partition);
 }
 
 void PartitionClaims::postpone_until(int partition, Ms until) {
@@ -27,7 +27,7 @@
   if (!view.ready || !state_store_.lease_alive()) return;
   const Ms now = runtime_.now();
   for (int partition = 0; partition < settings_.partition_count; ++partition) {
-    if (view.partitions.count(partition) || claiming_.count(partition)) {
+    if (view.partitions.contains(partition) || claiming_.contains(partition)) {
       vacant_since_.erase(partition);
       continue;
     }
@@ -52,7 +52,7 @@
   Ms wait = 0;
   if (preferred != settings_.node) {
     const bool preferred_may_claim =
-        state_store_.view().nodes.count(preferred) > 0 && !peers_.has_lost_workers(preferred);
+        state_store_.view().nodes.contains(preferred) && !peers_.has_lost_workers(preferred);
     wait = preferred_may_claim ? k::kClaimPreferredAliveMs : k::kClaimOtherMs;
   }
   if (!workers_.hears_workers()) wait += k::kClaimWorkersLostMs;
--- a/src/leadership/partition_handover.cc
+++ b/src/leadership/partition_handover.cc
@@ -1,6 +1,8 @@
 // Giving up partitions: to their preferred leader, or to a peer that still hears workers.
 #include "leadership/partition_handover.h"
 
+#include <algorithm>
+
 namespace eiderreel {
 
 namespace k = constants;
@@ -38,12 +40,11 @@
 // hears workers, in time for them to find it.
 bool PartitionHandover::relinquish_if_workers_lost() {
   if (workers_.hears_workers() || !may_relinquish() || !peers_.any_hears_workers()) return false;
-  for (const auto& [partition, led] : led_) {
-    if (!led.active) continue;
-    relinquish(partition, "workers-lost");
-    return true;
-  }
-  return false;
+  const auto first =
+      std::ranges::find_if(led_, [](const auto& entry) { return entry.second.active; });
+  if (first == led_.end()) return false;
+  relinquish(first->first, "workers-lost");
+  return true;
 }
 
 // The claim is deleted under guard, and another node claims the partition. We stop acting before
--- a/src/leadership/partition_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -145,7 +145,7 @@
     return finalizer_.commit(led, query.job, reply_to(done));
   }
   const JobPersistence* persistence = led.find_persistence(query.job);
-  const bool may_be_final = persistence && persistence->final_commit;
+  const bool may_be_final = persistence != nullptr && persistence->final_commit.has_value();
   if (may_be_final || state_store_.replica().is_unresolved(query.job))
     return decline(done, JobQueryError::outcome_in_doubt);
   done(HttpReply{http_status::kOk, codec::job_status(query.job, {JobPhase::queued, 0, 0})});
--- a/src/leadership/partition_leader.cc
+++ b/src/leadership/partition_leader.cc
@@ -125,7 +125,7 @@
   const auto heard = partition_loads();
   std::vector<int> unheard;
   for (int partition = 0; partition < settings_.partition_count; ++partition)
-    if (!heard.count(partition)) unheard.push_back(partition);
+    if (!heard.contains(partition)) unheard.push_back(partition);
   return unheard;
 }
 
--- a/src/leadership/peer_directory.cc
+++ b/src/leadership/peer_directory.cc
@@ -29,7 +29,7 @@
 bool PeerDirectory::any_hears_workers() const {
   return std::any_of(settings_.peers.begin(), settings_.peers.end(), [&](const Peer& peer) {
     return alive(peer.name) && !has_lost_workers(peer.name) &&
-           state_store_.view().nodes.count(peer.name) > 0;
+           state_store_.view().nodes.contains(peer.name);
   });
 }
 
--- a/src/leadership/progress_plan.cc
+++ b/src/leadership/progress_plan.cc
@@ -80,7 +80,7 @@
   for (const std::uint32_t task : tasks) {
     const TaskRange range = codec::progress_range(task, job.tasks, job.value_bytes);
     if (is_unreadable(job, key_of(job, range))) continue;
-    if (ranges.size() == most && !ranges.count(range)) break;
+    if (ranges.size() == most && !ranges.contains(range)) break;
     ranges.insert(range);
     batch.recorded.push_back(task);
   }
@@ -102,7 +102,8 @@
   // all values are written.
   for (const auto& [key, stored] : job.stored) {
     if (batch.size() == most) break;
-    if (!stored.unreadable && stored.form != to && !kept.count(key)) batch.deletes.push_back(key);
+    if (!stored.unreadable && stored.form != to && !kept.contains(key))
+      batch.deletes.push_back(key);
   }
   return batch;
 }
