--- a/src/upgrade/upgrade_json.cc
+++ b/src/upgrade/upgrade_json.cc
@@ -3,6 +3,7 @@
 
 #include <fmt/format.h>
 
+#include <algorithm>
 #include <utility>
 
 #include "codec/json_fields.h"
@@ -19,34 +20,16 @@
 constexpr std::size_t kMaxNameLength = 100;    // characters of a name or a request
 constexpr std::size_t kMaxReasonLength = 300;  // characters of a reason or an obstacle
 
-// An array of one object for each item, with the fields that `put_fields` writes.
-void put_objects(Writer& writer, const char* name, const auto& items, auto put_fields) {
-  writer.Key(name);
-  writer.StartArray();
-  for (const auto& item : items) {
-    writer.StartObject();
-    put_fields(writer, item);
-    writer.EndObject();
-  }
-  writer.EndArray();
-}
-
-void put_texts(Writer& writer, const char* name, const auto& texts) {
-  writer.Key(name);
-  writer.StartArray();
-  for (const std::string& text : texts)
-    writer.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
-  writer.EndArray();
-}
-
 bool get_texts(const Value& object, const char* name, std::vector<std::string>& out) {
   const Value* list = field(object, name);
   if (!list) return true;
-  if (!list->IsArray()) return false;
-  for (const auto& text : list->GetArray()) {
-    if (!text.IsString() || text.GetStringLength() > kMaxReasonLength) return false;
-    out.emplace_back(text.GetString(), text.GetStringLength());
-  }
+  auto texts = all_strings(*list);
+  if (!texts) return false;
+  const bool too_long = std::any_of(texts->begin(), texts->end(), [](const std::string& text) {
+    return text.size() > kMaxReasonLength;
+  });
+  if (too_long) return false;
+  out = std::move(*texts);
   return true;
 }
 
@@ -97,7 +80,8 @@
   if (plan.to) put_version(writer, "to", *plan.to);
   put(writer, "effect", plan.effect);
   put(writer, "possible", plan.possible());
-  put_objects(writer, "obstacles", plan.obstacles, put_obstacle);
+  put_objects(writer, "obstacles", plan.obstacles,
+              [&](const upgrade::Obstacle& obstacle) { put_obstacle(writer, obstacle); });
 }
 
 const char* state_name(const upgrade::ControllerFacts& controller) {
@@ -146,8 +130,8 @@
   put(writer, "reason", record.reason);
   put(writer, "request", record.request);
   put(writer, "controller", record.controller);
-  put_texts(writer, "without", record.without);
-  put_texts(writer, "obstacles", record.obstacles);
+  put_strings(writer, "without", record.without);
+  put_strings(writer, "obstacles", record.obstacles);
 }
 
 }  // namespace
@@ -167,7 +151,7 @@
     put(writer, "request", order.request);
     put(writer, "who", order.who);
     put(writer, "reason", order.reason);
-    put_texts(writer, "without", order.step.without);
+    put_strings(writer, "without", {order.step.without.begin(), order.step.without.end()});
   });
 }
 
@@ -195,7 +179,9 @@
     if (report.step_in_doubt) put(writer, "step_in_doubt", *report.step_in_doubt);
     put(writer, "automatic", report.automatic);
     put(writer, "in_maintenance_window", report.in_maintenance_window);
-    put_objects(writer, "controllers", report.controllers, put_controller);
+    put_objects(
+        writer, "controllers", report.controllers,
+        [&](const upgrade::ControllerFacts& controller) { put_controller(writer, controller); });
     put_conversion(writer, report.conversion);
   });
 }
@@ -243,7 +229,10 @@
 }
 
 std::string encode(const std::vector<upgrade::StepRecord>& records) {
-  return object([&](Writer& writer) { put_objects(writer, "history", records, put_record); });
+  return object([&](Writer& writer) {
+    put_objects(writer, "history", records,
+                [&](const upgrade::StepRecord& record) { put_record(writer, record); });
+  });
 }
 
 }  // namespace eiderreel::codec
