--- a/src/scheduler/delay_scheduling.cc
+++ b/src/scheduler/delay_scheduling.cc
@@ -20,7 +20,7 @@
            totals_.free_with_image(job);
   const bool has_image = machine.images.contains(job.image);
   if (waited >= (has_image ? constants::kServicePackMs : constants::kImageWaitMs)) return false;
-  const ScheduledJob::ImageSurvey& survey = survey_image(job, now);
+  const ImageSurvey& survey = survey_image(job, now);
   if (!has_image) return survey.found;
   // Joining pays only where the heartbeat of such a machine is likely within the wait.
   return survey.service_machines >= constants::kServiceMachines &&
@@ -28,9 +28,9 @@
 }
 
 // Looks at all machines, so at most once a tick for each service that waits.
-const ScheduledJob::ImageSurvey& DelayScheduling::survey_image(ScheduledJob& job, Ms now) {
+const ImageSurvey& DelayScheduling::survey_image(ScheduledJob& job, Ms now) {
   if (job.image_survey && now - job.image_survey->at < constants::kTickMs) return *job.image_survey;
-  ScheduledJob::ImageSurvey& survey = job.image_survey.emplace();
+  ImageSurvey& survey = job.image_survey.emplace();
   survey.at = now;
   for (const auto& [id, machine] : machines_) {
     ++steps_;
--- a/src/scheduler/delay_scheduling.h
+++ b/src/scheduler/delay_scheduling.h
@@ -29,7 +29,7 @@
   std::uint64_t steps() const { return steps_; }
 
  private:
-  const ScheduledJob::ImageSurvey& survey_image(ScheduledJob& job, Ms now);
+  const ImageSurvey& survey_image(ScheduledJob& job, Ms now);
   Ms pack_ms() const;
 
   const SchedulingPolicy& policy_;
--- a/src/scheduler/dependency_graph.cc
+++ b/src/scheduler/dependency_graph.cc
@@ -1,17 +1,28 @@
+// Follows the edges of the graph with explicit stacks, as chains may be thousands of jobs long.
 #include "scheduler/dependency_graph.h"
 
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <set>
+#include <string>
 #include <utility>
+#include <vector>
+
+#include "constants.h"
+#include "model/job.h"
 
 namespace eiderreel {
 
 DependencyGraph::Node* DependencyGraph::find(const std::string& id) {
-  auto it = nodes_.find(id);
-  return it == nodes_.end() ? nullptr : &it->second;
+  const auto found = nodes_.find(id);
+  return found == nodes_.end() ? nullptr : &found->second;
 }
 
 const DependencyGraph::Node* DependencyGraph::find(const std::string& id) const {
-  auto it = nodes_.find(id);
-  return it == nodes_.end() ? nullptr : &it->second;
+  const auto found = nodes_.find(id);
+  return found == nodes_.end() ? nullptr : &found->second;
 }
 
 void DependencyGraph::count_waiting(const Node& node, int by) {
@@ -172,7 +183,7 @@
 
 bool DependencyGraph::waits(const std::string& id) const {
   const Node* node = find(id);
-  return node && node->open && (node->cancelled || !node->prerequisites.empty());
+  return node != nullptr && node->open && (node->cancelled || !node->prerequisites.empty());
 }
 
 std::vector<std::string> DependencyGraph::waiting(std::size_t most) const {
@@ -186,7 +197,7 @@
 
 bool DependencyGraph::is_prerequisite(const std::string& id) const {
   const Node* node = find(id);
-  return node && !node->dependents.empty();
+  return node != nullptr && !node->dependents.empty();
 }
 
 std::vector<std::string> DependencyGraph::prerequisites() const {
@@ -223,7 +234,7 @@
     left.pop_back();
     for (const Node* prerequisite : node->prerequisites) {
       ++steps_;
-      if (others.count(prerequisite->id)) return true;
+      if (others.contains(prerequisite->id)) return true;
       if (seen.insert(prerequisite).second) left.push_back(prerequisite);
     }
   }
--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -19,6 +19,10 @@
 namespace eiderreel {
 namespace {
 
+HeartbeatReply stale_reply(std::uint64_t fencing_token) {
+  return {HeartbeatVerdict::stale, fencing_token, {}};
+}
+
 // A task that was bound already is shown by a heartbeat as not exited.
 void update_bound(BoundTask& task, const TaskStatus& status) {
   if (task.attempt != status.attempt) {
@@ -38,20 +42,20 @@
 
 HeartbeatReply HeartbeatReconciler::reconcile(const Heartbeat& heartbeat, Ms now) {
   ScheduledMachine* const found = machines_.find(heartbeat.machine);
-  if (!found) return {HeartbeatVerdict::stale, machines_.fencing_token(), {}};
+  if (!found) return stale_reply(machines_.fencing_token());
   ScheduledMachine& machine = *found;
-  const HeartbeatReply stale{HeartbeatVerdict::stale, machines_.fencing_token_of(machine), {}};
-  if (is_outdated(machine, heartbeat)) return stale;
+  const std::uint64_t fencing_token = machines_.fencing_token_of(machine);
+  if (is_outdated(machine, heartbeat)) return stale_reply(fencing_token);
   if (machine.heartbeat_received && heartbeat.incarnation > machine.incarnation)
     begin_incarnation(machine, now);
   // Invariant 5: no 200 any more until its lease is surely over (see `PartitionScheduler::tick`).
-  if (has_inbound_loss(machine) && !machine.lease_expired) return stale;
+  if (has_inbound_loss(machine) && !machine.lease_expired) return stale_reply(fencing_token);
   update_machine(machine, heartbeat, now);
-  if (heartbeat.fencing_token < stale.fencing_token) return announce_token(machine, heartbeat, now);
+  if (heartbeat.fencing_token < fencing_token) return announce_token(machine, heartbeat, now);
   machine.token_announcements = 0;
   machines_.mark_reconciled(machine);
 
-  HeartbeatReply reply{HeartbeatVerdict::ok, stale.fencing_token, {}};
+  HeartbeatReply reply{HeartbeatVerdict::ok, fencing_token, {}};
   ShownTasks shown;
   for (const TaskStatus& status : heartbeat.tasks)
     reconcile_task(machine, status, now, shown, reply.commands);
@@ -60,7 +64,7 @@
     machine.lost_replies = 0;
   else if (start_lost)
     record_lost_reply(machine, now);
-  if (has_inbound_loss(machine)) return stale;
+  if (has_inbound_loss(machine)) return stale_reply(fencing_token);
   if (!machine.tasks.empty() || machine.idle_since == 0) machine.idle_since = now;
   return reply;
 }
@@ -118,7 +122,7 @@
   // It was told our fencing token, twice, and does not show it.
   if (machine.token_announcements > constants::kTokenAnnouncements &&
       now - machine.first_announced_at > constants::kWorkerPatienceMs)
-    return {HeartbeatVerdict::stale, fencing_token, {}};
+    return stale_reply(fencing_token);
   // Invariant 7. This answer renews the lease like any other. Without kills in it, tasks of a job
   // whose user had been told that it is cancelled outlived `cancel_s`: machines that hung at the
   // cancellation were told the fencing token of a new leader, and could not be reached after that.
@@ -166,7 +170,7 @@
                                            const BoundTask* bound, Ms now,
                                            std::vector<Command>& out) {
   const TaskKey key{status.job, status.index};
-  const bool ours = bound && bound->attempt == status.attempt;
+  const bool ours = bound != nullptr && bound->attempt == status.attempt;
   if (ScheduledJob* job = find_job(status); job && status.exit_reason == ExitReason::done) {
     if (ours) bindings_.release(machine, key, Requeue::no, now);
     job->set_done(status.index);
--- a/src/scheduler/partition_scheduler.cc
+++ b/src/scheduler/partition_scheduler.cc
@@ -93,7 +93,7 @@
 
 bool PartitionScheduler::idle(const std::string& id) const {
   const ScheduledMachine* machine = parts_->machines.find(id);
-  return machine && machine->reconciled && machine->tasks.empty();
+  return machine != nullptr && machine->reconciled && machine->tasks.empty();
 }
 
 std::vector<std::string> PartitionScheduler::idle_machines(bool spot, double cpus, bool rested,
@@ -184,7 +184,7 @@
 
 bool PartitionScheduler::is_complete(const std::string& id) const {
   const ScheduledJob* job = parts_->jobs.find(id);
-  return job && job->is_complete();
+  return job != nullptr && job->is_complete();
 }
 
 void PartitionScheduler::begin_finalizing(const std::string& id) {
@@ -193,15 +193,17 @@
 
 bool PartitionScheduler::is_finalizing(const std::string& id) const {
   const ScheduledJob* job = parts_->jobs.find(id);
-  return job && job->finalizing;
+  return job != nullptr && job->finalizing;
 }
 
 void PartitionScheduler::kill_tasks(const std::string& job) {
-  for (const auto& [id, machine] : parts_->machines)
-    for_each_task(*machine, job, [&](const TaskKey& key, BoundTask& task) {
+  for (const auto& entry : parts_->machines) {
+    ScheduledMachine& machine = *entry.second;
+    for_each_task(machine, job, [this, &machine](const TaskKey& key, BoundTask& task) {
       task.stop_grace_s = 0;
-      parts_->kills[machine->id].push_back(kill_command(key, task.attempt, 0));
+      parts_->kills[machine.id].push_back(kill_command(key, task.attempt, 0));
     });
+  }
 }
 
 void PartitionScheduler::cancel_job(const std::string& id) {
--- a/src/scheduler/partition_scheduler.h
+++ b/src/scheduler/partition_scheduler.h
@@ -23,8 +23,8 @@
 
 struct PartitionComponents;
 
-/// The scheduler of one partition. A facade: each concern has a class of its own in this folder,
-/// see docs/architecture.md.
+/// The scheduler of one partition. A facade: each concern has a class of its own in this folder;
+/// partition_components.h shows how they are wired.
 ///
 /// Times are in milliseconds on the steady clock. An id that is not known is no error: queries
 /// answer with nothing, changes do nothing.
--- a/src/scheduler/reservation.cc
+++ b/src/scheduler/reservation.cc
@@ -30,7 +30,8 @@
 bool Reservation::still_needed(Ms now) const {
   const ScheduledJob* job = jobs_.find(held_->job);
   const ScheduledMachine* machine = machines_.find(held_->machine);
-  return job && job->starved && !job->finalizing && machine && machine->schedulable(now);
+  return job != nullptr && job->starved && !job->finalizing && machine != nullptr &&
+         machine->schedulable(now);
 }
 
 bool Reservation::admits(const ScheduledMachine& machine, const ScheduledJob& job) const {
--- a/src/scheduler/scheduled_job.h
+++ b/src/scheduler/scheduled_job.h
@@ -16,6 +16,14 @@
 /// The state of a task. `recorded`: done, and durably so.
 enum class TaskState : std::uint8_t { queued, bound, done, recorded };
 
+/// Which machines have the image of a service that waits, and room that no service takes.
+struct ImageSurvey {
+  Ms at = 0;  // when they were looked at
+  bool found = false;
+  double most_service_cpus = 0;  // the most that services take on one of them
+  int service_machines = 0;      // those that run services
+};
+
 /// An open job. All its tasks are alike, so that they are told apart by their index alone.
 struct ScheduledJob {
   JobSpec spec;
@@ -50,13 +58,6 @@
   Ms latest_start = 0;
   Ms waiting_since = 0;  // when the first of its queued tasks began to wait
 
-  /// Which machines have the image of a service that waits, and room that no service takes.
-  struct ImageSurvey {
-    Ms at = 0;
-    bool found = false;
-    double most_service_cpus = 0;  // the most that services take on one of them
-    int service_machines = 0;      // those that run services
-  };
   std::optional<ImageSurvey> image_survey;
 
   bool is_service() const { return spec.kind == JobKind::service; }
--- a/src/scheduler/scheduled_machine.cc
+++ b/src/scheduler/scheduled_machine.cc
@@ -9,8 +9,8 @@
 namespace eiderreel {
 
 bool ScheduledMachine::schedulable(Ms now) const {
-  return reconciled && heartbeat_received && !lease_expired && !transferring && type && !taken_at &&
-         quarantine_until <= now && unknown_tasks == 0;
+  return reconciled && heartbeat_received && !lease_expired && !transferring && type != nullptr &&
+         !taken_at && quarantine_until <= now && unknown_tasks == 0;
 }
 
 FillLevel ScheduledMachine::fill_level() const {
--- a/src/scheduler/scheduled_machine.h
+++ b/src/scheduler/scheduled_machine.h
@@ -1,6 +1,5 @@
 // A machine as its partition's scheduler sees it, and the tasks bound to it.
 #pragma once
-#include <compare>
 #include <cstddef>
 #include <cstdint>
 #include <map>
@@ -20,7 +19,10 @@
 struct TaskKey {
   std::string job;
   std::uint32_t index = 0;
-  auto operator<=>(const TaskKey&) const = default;
+  bool operator<(const TaskKey& other) const {
+    const int by_job = job.compare(other.job);
+    return by_job < 0 || (by_job == 0 && index < other.index);
+  }
 };
 
 /// A task on a machine, or sent to it.
--- a/src/scheduler/task_bindings.cc
+++ b/src/scheduler/task_bindings.cc
@@ -63,7 +63,7 @@
   return task;
 }
 
-void TaskBindings::release(ScheduledMachine& machine, TaskKey key, Requeue requeue, Ms now) {
+void TaskBindings::release(ScheduledMachine& machine, const TaskKey& key, Requeue requeue, Ms now) {
   const auto found = machine.tasks.find(key);
   if (found == machine.tasks.end()) return;
   const BoundTask task = found->second;
@@ -86,7 +86,10 @@
 }
 
 void TaskBindings::release_all(ScheduledMachine& machine, Ms now) {
-  while (!machine.tasks.empty()) release(machine, machine.tasks.begin()->first, Requeue::yes, now);
+  while (!machine.tasks.empty()) {
+    const TaskKey key = machine.tasks.begin()->first;
+    release(machine, key, Requeue::yes, now);
+  }
 }
 
 }  // namespace eiderreel
--- a/src/scheduler/task_bindings.h
+++ b/src/scheduler/task_bindings.h
@@ -30,9 +30,9 @@
   /// is done. It is killed, and holds room until it is gone. `job`: null if it is not open.
   BoundTask& bind_orphan(ScheduledMachine& machine, const TaskStatus& status,
                          const ScheduledJob* job, Ms now);
-  /// The task is proven gone from this machine. The key is a copy, as callers pass one that goes
-  /// with the task.
-  void release(ScheduledMachine& machine, TaskKey key, Requeue requeue, Ms now);
+  /// The task is proven gone from this machine. The key must not be that in `machine.tasks`, which
+  /// goes with the task.
+  void release(ScheduledMachine& machine, const TaskKey& key, Requeue requeue, Ms now);
   /// All tasks are proven gone.
   void release_all(ScheduledMachine& machine, Ms now);
 
