--- a/src/fleet/machine_provisioner.h
+++ b/src/fleet/machine_provisioner.h
@@ -1,12 +1,12 @@
 // Machine provisioning: asks the cloud for machines, the cheapest that will do, and knows which of
 // them are still on their way.
 #pragma once
-#include <compare>
 #include <cstdint>
 #include <functional>
 #include <map>
 #include <set>
 #include <string>
+#include <tuple>
 #include <vector>
 
 #include "cloud/cloud_client.h"
@@ -59,7 +59,9 @@
     std::string type;
     std::string zone;
     bool spot = false;
-    auto operator<=>(const Pool&) const = default;
+    bool operator<(const Pool& other) const {
+      return std::tie(type, zone, spot) < std::tie(other.type, other.zone, other.spot);
+    }
   };
   struct Offer {
     const MachineType* type = nullptr;
