--- a/src/cli/json_fields.cc
+++ b/src/cli/json_fields.cc
@@ -29,7 +29,7 @@
 
 bool flag_in(const Value& object, const char* name) {
   const Value* value = field_in(object, name);
-  return value && value->IsBool() && value->GetBool();
+  return value != nullptr && value->IsBool() && value->GetBool();
 }
 
 }  // namespace eiderreel::cli
--- a/src/cli/status.cc
+++ b/src/cli/status.cc
@@ -4,6 +4,7 @@
 #include <fmt/format.h>
 #include <rapidjson/document.h>
 
+#include <array>
 #include <iostream>
 
 #include "cli/exit_code.h"
@@ -15,9 +16,9 @@
 namespace eiderreel::cli {
 namespace {
 
-constexpr const char* kColumns[] = {"part",         "owner",         "term",       "jobs",
-                                    "queued_tasks", "running_tasks", "total_cpus", "used_cpus",
-                                    "waiting_cpus", "idle_machines"};
+constexpr std::array kColumns = {"part",         "owner",         "term",       "jobs",
+                                 "queued_tasks", "running_tasks", "total_cpus", "used_cpus",
+                                 "waiting_cpus", "idle_machines"};
 
 int fail_at(const std::string& addr, const std::string& what) {
   return fail(exit_code::kFailure, "status", addr + ": " + what);
--- a/src/cli/upgrade.cc
+++ b/src/cli/upgrade.cc
@@ -4,6 +4,7 @@
 #include <fmt/format.h>
 #include <rapidjson/document.h>
 
+#include <algorithm>
 #include <chrono>
 #include <iostream>
 #include <optional>
@@ -67,12 +68,10 @@
 
 // Reports the first malformed address.
 bool addresses_are_good(const UpgradeCall& call) {
-  for (const std::string& addr : call.addrs)
-    if (!is_address(addr)) {
-      fail(exit_code::kUsage, addr + ": not an address of the form IP:PORT");
-      return false;
-    }
-  return true;
+  const auto bad = std::find_if_not(call.addrs.begin(), call.addrs.end(), is_address);
+  if (bad == call.addrs.end()) return true;
+  print_error(kCommand, *bad + ": not an address of the form IP:PORT");
+  return false;
 }
 
 // A unique name for the request, by which its outcome can be looked up.
--- a/src/net/http_reply.cc
+++ b/src/net/http_reply.cc
@@ -67,7 +67,7 @@
     evhttp_add_header(headers, "Retry-After", std::to_string(k::kRetryAfterS).c_str());
   evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
   // From here on libevent frees the request, also if the connection fails.
-  request_.release();
+  static_cast<void>(request_.release());
   request->flags &= ~EVHTTP_USER_OWNED;
   evhttp_send_reply(request, status, reason_phrase(status), nullptr);
 }
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -56,7 +56,7 @@
                               backlog, reinterpret_cast<sockaddr*>(&address), sizeof address));
   if (!listener || !evhttp_bind_listener(server_.get(), listener.get()))
     return tl::make_unexpected(ListenError{"api_addr", settings.api_addr});
-  listener.release();  // the server owns it now
+  static_cast<void>(listener.release());  // the server owns it now
   return {};
 }
 
--- a/src/net/peer_links.cc
+++ b/src/net/peer_links.cc
@@ -83,7 +83,7 @@
   if ((events & BEV_EVENT_CONNECTED) != 0)
     outbound.connected = true;
   else
-    outbound.owner->drop_and_redial(outbound);
+    drop_and_redial(outbound);
 }
 
 void PeerLinks::send(const std::string& node, const std::string& bytes) {
--- a/src/net/peer_links.h
+++ b/src/net/peer_links.h
@@ -39,7 +39,7 @@
   };
 
   void dial(OutboundLink& link);
-  void drop_and_redial(OutboundLink& link);
+  static void drop_and_redial(OutboundLink& link);
   static void on_redial(evutil_socket_t socket, short events, void* link);
   static void on_outbound_event(bufferevent* connection, short events, void* link);
   static void on_accept(evconnlistener* listener, evutil_socket_t socket, sockaddr* peer,
