--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -18,6 +18,15 @@
   std::string peer_addr;  ///< IP:PORT where it listens for peers.
 };
 
+/// Values of settings before a file is read; the file must state all of them.
+namespace default_settings {
+
+inline constexpr double kCancelS = 40;
+inline constexpr double kStateRps = 50;
+inline constexpr double kStateWriteRps = 20;
+
+}  // namespace default_settings
+
 /// The settings of one controller. The platform's file gives everything except `upgrade`.
 struct Settings {
   std::string node;       ///< Name of this controller.
@@ -40,16 +49,18 @@
   /// Seconds within which the tasks of a job should start, by job class.
   std::map<std::string, double> start_objectives_s;
 
-  double heartbeat_interval_s = 1;  ///< Seconds between heartbeats of a worker.
-  double lease_s = 10;              ///< Seconds that a worker's lease lasts.
-  double cancel_s = 40;             ///< Seconds that a worker may take to stop a task.
+  double heartbeat_interval_s = 1;               ///< Seconds between heartbeats of a worker.
+  double lease_s = 10;                           ///< Seconds that a worker's lease lasts.
+  double cancel_s = default_settings::kCancelS;  ///< Seconds that a worker may take to stop a task.
 
   // Limits of the state store. Where the file announces future limits (`params.state.next`), these
   // are the lower of the present and the future ones.
-  double state_rps = 50;        ///< Requests a second, of all controllers together.
-  double state_write_rps = 20;  ///< Changes a second, of all controllers together.
-  double state_value_kb = 8;    ///< KiB in one value.
-  int state_txn_ops = 16;       ///< Changes in one transaction.
+  double state_rps =
+      default_settings::kStateRps;  ///< Requests a second, of all controllers together.
+  double state_write_rps =
+      default_settings::kStateWriteRps;  ///< Changes a second, of all controllers together.
+  double state_value_kb = 8;             ///< KiB in one value.
+  int state_txn_ops = 16;                ///< Changes in one transaction.
 
   double cloud_rps = 4;   ///< Requests a second that the cloud accepts.
   double list_lag_s = 5;  ///< Seconds by which the cloud's list of machines may lag.
--- a/src/config/upgrade_settings.h
+++ b/src/config/upgrade_settings.h
@@ -9,6 +9,9 @@
 
 namespace eiderreel::upgrade {
 
+/// Conversion share of an upgrade file that states none.
+inline constexpr double kDefaultConversionShare = 0.1;
+
 /// How this controller takes part in upgrades of the cluster.
 struct UpgradeSettings {
   /// Whether a file was given. Without one the controller takes no part in cluster versions.
@@ -18,7 +21,7 @@
   /// Name of this build, for people.
   std::string build;
   /// Share of this controller's changes a second that a conversion of stored values may use.
-  double conversion_share = 0.1;
+  double conversion_share = kDefaultConversionShare;
   /// Whether steps are taken without an operator, inside `windows`.
   bool automatic = false;
   MaintenanceWindows windows;
