--- a/src/versioning/cluster_version.cc
+++ b/src/versioning/cluster_version.cc
@@ -9,7 +9,7 @@
 
 // The versions in which a gate is open.
 struct GateRow {
-  Gate gate;
+  Gate gate{};
   VersionRange open;
 };
 
@@ -20,7 +20,7 @@
 };
 
 struct NotesRow {
-  ClusterVersion version;
+  ClusterVersion version{};
   VersionNotes notes;
 };
 
@@ -58,9 +58,9 @@
 }
 
 std::optional<VersionNotes> notes(ClusterVersion version) {
-  const auto row = std::find_if(kNotes.begin(), kNotes.end(), [&](const NotesRow& candidate) {
-    return candidate.version == version;
-  });
+  const auto* const row =
+      std::find_if(kNotes.begin(), kNotes.end(),
+                   [&](const NotesRow& candidate) { return candidate.version == version; });
   if (row == kNotes.end()) return std::nullopt;
   return row->notes;
 }
--- a/src/versioning/maintenance_window.cc
+++ b/src/versioning/maintenance_window.cc
@@ -49,7 +49,7 @@
 }
 
 std::optional<unsigned> parse_weekday(const std::string& text) {
-  const auto found = std::find(kWeekdays.begin(), kWeekdays.end(), text);
+  const auto* const found = std::find(kWeekdays.begin(), kWeekdays.end(), text);
   if (found == kWeekdays.end()) return std::nullopt;
   return static_cast<unsigned>(found - kWeekdays.begin());
 }
