--- a/src/constants.h
+++ b/src/constants.h
@@ -257,8 +257,6 @@
 constexpr std::size_t kPeerBacklogMaxBytes = 1 << 20;
 
 // --- Cloud and fleet ------------------------------------------------------------------------
-// HTTP status of a request over the limit; nothing was done.
-constexpr int kOverLimit = 429;
 // ms. Timeout of a request to the cloud.
 constexpr Ms kCloudTimeoutMs = 8000;
 // ms. Interval at which the list of machines is read.
--- a/src/controller/http_router.cc
+++ b/src/controller/http_router.cc
@@ -50,10 +50,15 @@
   const bool is_job = path.starts_with(kJobsPrefix);
   if (found == routes_.end() && !is_job)
     return reply(http_status::kNotFound, codec::error_body("no such path"));
-  const Route route = is_job ? job_route(path.substr(kJobsPrefix.size())) : found->second;
+  if (is_job) return serve_route(job_route(path.substr(kJobsPrefix.size())), method, body, reply);
+  serve_route(found->second, method, body, reply);
+}
+
+void HttpRouter::serve_route(const Route& route, const std::string& method, const std::string& body,
+                             const Reply& reply) {
   if (method != route.method)
     return reply(http_status::kMethodNotAllowed, codec::error_body("use " + route.method));
-  route.serve(body, std::move(reply));
+  route.serve(body, reply);
 }
 
 void HttpRouter::serve_heartbeat(const std::string& body, Reply reply) {
--- a/src/controller/http_router.h
+++ b/src/controller/http_router.h
@@ -32,6 +32,8 @@
     std::function<void(const std::string& body, Reply reply)> serve;
   };
 
+  static void serve_route(const Route& route, const std::string& method, const std::string& body,
+                          const Reply& reply);
   void serve_heartbeat(const std::string& body, Reply reply);
   void serve_ready(const Reply& reply) const;
   // `path` is what follows /v1/jobs/.
--- a/src/controller/metrics.cc
+++ b/src/controller/metrics.cc
@@ -113,7 +113,7 @@
   out.counter("partition_claims_total", "partitions claimed", counters.claims);
   out.counter("failbacks_total", "partitions given back to their preferred leader",
               counters.failbacks);
-  out.counter("heartbeats_total", "heartbeats received", counters.reports);
+  out.counter("heartbeats_total", "heartbeats received", counters.heartbeats);
   out.counter("stale_heartbeats_total", "heartbeats late, repeated or under a higher fencing token",
               counters.stale_heartbeats);
   out.counter("deferred_heartbeats_total", "heartbeats whose reply waited for work",
--- a/src/controller/peer_dispatcher.cc
+++ b/src/controller/peer_dispatcher.cc
@@ -35,7 +35,8 @@
   const std::string& from;
 
   void operator()(const peer_rpc::JobQuery& query) const {
-    partition_leader.query_job(query, [node = &dispatcher, from = from, number = query.number](const JobQueryResult& result) {
+    partition_leader.query_job(query, [node = &dispatcher, from = from,
+                                       number = query.number](const JobQueryResult& result) {
       node->send(from, job_query_reply(number, result));
     });
   }
--- a/src/leadership/partition_leader.cc
+++ b/src/leadership/partition_leader.cc
@@ -38,7 +38,7 @@
 // ------------------------------------------------------------------ requests and messages
 
 void PartitionLeader::heartbeat(const Heartbeat& heartbeat, Reply reply) {
-  ++counters_.reports;
+  ++counters_.heartbeats;
   workers_.heard();
   router_.receive(heartbeat, std::move(reply));
 }
--- a/src/state_store/compare_and_swapper.cc
+++ b/src/state_store/compare_and_swapper.cc
@@ -17,7 +17,7 @@
 void CompareAndSwapper::submit(CompareAndSwap transaction) {
   auto swap = std::make_shared<Swap>();
   swap->tries_left = transaction.tries;
-  swap->encoded_under = parts_.acting_version.record_revision();
+  swap->encoded_under = dependencies_.acting_version.record_revision();
   swap->transaction = std::move(transaction);
   attempt(swap);
 }
@@ -25,15 +25,16 @@
 // ------------------------------------------------------------------------------- one try
 
 bool CompareAndSwapper::is_bound(const Swap& swap) const {
-  return parts_.acting_version.enabled() &&
+  return dependencies_.acting_version.enabled() &&
          swap.transaction.binding != VersionBinding::by_preconditions;
 }
 
 // Invariant 13: the record of this controller names the version that it acts under.
 codec::Precondition CompareAndSwapper::version_precondition(const Swap& swap) const {
   const bool as_encoded = swap.transaction.binding == VersionBinding::as_encoded;
-  return {.key = codec::node_key(parts_.settings.node),
-          .revision = as_encoded ? swap.encoded_under : parts_.acting_version.record_revision()};
+  return {
+      .key = codec::node_key(dependencies_.settings.node),
+      .revision = as_encoded ? swap.encoded_under : dependencies_.acting_version.record_revision()};
 }
 
 void CompareAndSwapper::attempt(const SwapPtr& swap) {
@@ -42,16 +43,16 @@
   std::optional<codec::Precondition> version_guard;
   if (is_bound(*swap)) {
     version_guard = version_precondition(*swap);
-    if (version_guard->revision == 0 || parts_.standby.in_standby()) {
+    if (version_guard->revision == 0 || dependencies_.standby.in_standby()) {
       end_without_record(swap);
       return;
     }
     preconditions.push_back(*version_guard);
   }
-  parts_.requests.submit(
+  dependencies_.requests.submit(
       {.method = "POST",
        .path = store_http::kCommitPath,
-       .body = codec::commit_body(preconditions, transaction.writes, parts_.lease.id()),
+       .body = codec::commit_body(preconditions, transaction.writes, dependencies_.lease.id()),
        .changes = static_cast<int>(transaction.writes.size()),
        .priority = transaction.request_priority,
        .done = [this, swap, version_guard](const HttpReply& reply) {
@@ -65,7 +66,7 @@
   CompareAndSwap& transaction = swap->transaction;
   if (reply.status == http_status::kOk) {
     const auto revision = codec::parse_store_revision(reply.body).value_or(0);
-    parts_.replica.apply_commit(transaction.writes, revision);
+    dependencies_.replica.apply_commit(transaction.writes, revision);
     transaction.done(CasOutcome::ok, revision);
   } else if (reply.status == http_status::kConflict) {
     on_conflict(swap, version_guard, reply);
@@ -100,7 +101,7 @@
 
 void CompareAndSwapper::retry(const SwapPtr& swap, Ms pause) {
   --swap->tries_left;
-  parts_.runtime.after(pause, [this, swap] { attempt(swap); });
+  dependencies_.runtime.after(pause, [this, swap] { attempt(swap); });
 }
 
 // ------------------------------------------------------------------------- version binding
@@ -114,7 +115,7 @@
     return;
   }
   const CasOutcome outcome = doubt ? CasOutcome::unknown : CasOutcome::refused;
-  parts_.runtime.after(0, [swap, outcome] { swap->transaction.done(outcome, 0); });
+  dependencies_.runtime.after(0, [swap, outcome] { swap->transaction.done(outcome, 0); });
 }
 
 // Invariant 13: the record that the transaction was bound to is no longer there, and all else is as
@@ -127,7 +128,7 @@
     transaction.done(CasOutcome::refused, 0);
     return;
   }
-  const bool learnt = parts_.acting_version.record_revision() != guard_revision;
+  const bool learnt = dependencies_.acting_version.record_revision() != guard_revision;
   retry(swap, learnt ? 0 : k::kVersionRetryMs);
 }
 
@@ -136,14 +137,14 @@
 // The preconditions failed after a try without answer, so it is read whose write stands there.
 void CompareAndSwapper::read_back(const SwapPtr& swap) {
   const std::string& key = swap->transaction.writes.front().key;
-  parts_.reader.read(key, [this, swap](const StoreResult<codec::StateRow>& row) {
+  dependencies_.reader.read(key, [this, swap](const StoreResult<codec::StateRow>& row) {
     if (row) {
       on_read_back(swap, *row);
     } else if (swap->reads_left <= 1) {
       swap->transaction.done(CasOutcome::unknown, 0);
     } else {
       --swap->reads_left;
-      parts_.runtime.after(k::kRetryMs, [this, swap] { read_back(swap); });
+      dependencies_.runtime.after(k::kRetryMs, [this, swap] { read_back(swap); });
     }
   });
 }
@@ -153,7 +154,7 @@
 void CompareAndSwapper::on_read_back(const SwapPtr& swap, const codec::StateRow& row) {
   const CompareAndSwap& transaction = swap->transaction;
   if (row.revision != 0 && row.nonce == transaction.nonce) {
-    parts_.replica.apply_commit(transaction.writes, row.revision);
+    dependencies_.replica.apply_commit(transaction.writes, row.revision);
     transaction.done(CasOutcome::ok, row.revision);
     return;
   }
@@ -166,8 +167,8 @@
     return;
   }
   // Our write may have stood there for a while; the replica knows of it before the caller acts.
-  parts_.waiters.when_applied(swap->conflict_revision,
-                              [swap] { swap->transaction.done(CasOutcome::conflict, 0); });
+  dependencies_.waiters.when_applied(swap->conflict_revision,
+                                     [swap] { swap->transaction.done(CasOutcome::conflict, 0); });
 }
 
 }  // namespace eiderreel
--- a/src/state_store/compare_and_swapper.h
+++ b/src/state_store/compare_and_swapper.h
@@ -24,7 +24,7 @@
 class CompareAndSwapper {
  public:
   /// What it works with; all of it outlives it.
-  struct Parts {
+  struct Dependencies {
     Runtime& runtime;
     const Settings& settings;
     RequestQueue& requests;
@@ -35,7 +35,7 @@
     const upgrade::ActingVersion& acting_version;
     const StandbyMonitor& standby;
   };
-  explicit CompareAndSwapper(const Parts& parts) : parts_(parts) {}
+  explicit CompareAndSwapper(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
   /// Carries out the transaction, and calls its `done` once.
   void submit(CompareAndSwap transaction);
@@ -63,7 +63,7 @@
   bool is_bound(const Swap& swap) const;
   codec::Precondition version_precondition(const Swap& swap) const;
 
-  Parts parts_;
+  Dependencies dependencies_;
 };
 
 }  // namespace eiderreel
--- a/src/state_store/node_record_writer.cc
+++ b/src/state_store/node_record_writer.cc
@@ -11,41 +11,41 @@
 namespace k = constants;
 
 void NodeRecordWriter::tick() {
-  if (parts_.lease.alive() && is_due() && !writing_) write();
+  if (dependencies_.lease.alive() && is_due() && !writing_) write();
 }
 
 bool NodeRecordWriter::is_due() const {
-  if (written_lease_id_ != parts_.lease.id()) return true;
-  return parts_.acting_version.enabled() &&
-         parts_.acting_version.needs_record(parts_.replica.view().cluster);
+  if (written_lease_id_ != dependencies_.lease.id()) return true;
+  return dependencies_.acting_version.enabled() &&
+         dependencies_.acting_version.needs_record(dependencies_.replica.view().cluster);
 }
 
 void NodeRecordWriter::write() {
   writing_ = true;
   const codec::NodeRecord written = record();
   CompareAndSwap transaction;
-  transaction.nonce = parts_.nonces.next();
+  transaction.nonce = dependencies_.nonces.next();
   transaction.binding = VersionBinding::by_preconditions;
   transaction.request_priority = RequestPriority::urgent;
   transaction.preconditions = preconditions();
-  transaction.writes = {{.key = codec::node_key(parts_.settings.node),
+  transaction.writes = {{.key = codec::node_key(dependencies_.settings.node),
                          .value = codec::encode(written, transaction.nonce),
                          .lease_bound = true}};
   transaction.done = [this, written](CasOutcome outcome, std::uint64_t revision) {
     on_written(written, outcome, revision);
   };
-  parts_.swapper.submit(std::move(transaction));
+  dependencies_.swapper.submit(std::move(transaction));
 }
 
 codec::NodeRecord NodeRecordWriter::record() const {
-  const upgrade::ActingVersion& acting_version = parts_.acting_version;
-  codec::NodeRecord record{.boot = parts_.runtime.boot_id(),
-                           .lease_id = parts_.lease.id(),
+  const upgrade::ActingVersion& acting_version = dependencies_.acting_version;
+  codec::NodeRecord record{.boot = dependencies_.runtime.boot_id(),
+                           .lease_id = dependencies_.lease.id(),
                            .features = k::kFeatures,
                            .versions = std::nullopt};
   if (acting_version.enabled())
-    record.versions = {acting_version.range(), *parts_.replica.view().cluster.version,
-                       parts_.settings.upgrade.build};
+    record.versions = {acting_version.range(), *dependencies_.replica.view().cluster.version,
+                       dependencies_.settings.upgrade.build};
   return record;
 }
 
@@ -53,25 +53,25 @@
 // replaces just the record that was known; so no late copy of an older one can bring back an older
 // version.
 std::vector<codec::Precondition> NodeRecordWriter::preconditions() const {
-  if (!parts_.acting_version.enabled()) return {};
-  const ClusterView& view = parts_.replica.view();
-  const auto known = view.nodes.find(parts_.settings.node);
+  if (!dependencies_.acting_version.enabled()) return {};
+  const ClusterView& view = dependencies_.replica.view();
+  const auto known = view.nodes.find(dependencies_.settings.node);
   const std::uint64_t known_revision = known == view.nodes.end() ? 0 : known->second.revision;
   return {{codec::version_key(), view.cluster.revision},
-          {codec::node_key(parts_.settings.node), known_revision}};
+          {codec::node_key(dependencies_.settings.node), known_revision}};
 }
 
 void NodeRecordWriter::on_written(const codec::NodeRecord& record, CasOutcome outcome,
                                   std::uint64_t revision) {
-  const bool written = outcome == CasOutcome::ok && record.lease_id == parts_.lease.id();
+  const bool written = outcome == CasOutcome::ok && record.lease_id == dependencies_.lease.id();
   if (written) written_lease_id_ = record.lease_id;
   if (written && record.versions) {
     const auto version = record.versions->acting;
-    spdlog::info("version acknowledged node={} version={} revision={}", parts_.settings.node,
+    spdlog::info("version acknowledged node={} version={} revision={}", dependencies_.settings.node,
                  upgrade::to_string(version), revision);
-    parts_.acting_version.record_written(version, revision);
+    dependencies_.acting_version.record_written(version, revision);
   }
-  parts_.runtime.after(written ? 0 : k::kRetryMs, [this] { writing_ = false; });
+  dependencies_.runtime.after(written ? 0 : k::kRetryMs, [this] { writing_ = false; });
 }
 
 }  // namespace eiderreel
--- a/src/state_store/node_record_writer.h
+++ b/src/state_store/node_record_writer.h
@@ -20,7 +20,7 @@
 class NodeRecordWriter {
  public:
   /// What it works with; all of it outlives it.
-  struct Parts {
+  struct Dependencies {
     Runtime& runtime;
     const Settings& settings;
     const ReplicatedView& replica;
@@ -29,7 +29,7 @@
     NonceSource& nonces;
     upgrade::ActingVersion& acting_version;
   };
-  explicit NodeRecordWriter(const Parts& parts) : parts_(parts) {}
+  explicit NodeRecordWriter(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
   /// Writes the record if that is due.
   void tick();
@@ -41,7 +41,7 @@
   std::vector<codec::Precondition> preconditions() const;
   void on_written(const codec::NodeRecord& record, CasOutcome outcome, std::uint64_t revision);
 
-  Parts parts_;
+  Dependencies dependencies_;
   std::uint64_t written_lease_id_ = 0;  // the lease for which the record was written last
   bool writing_ = false;
 };
--- a/src/state_store/store_watcher.cc
+++ b/src/state_store/store_watcher.cc
@@ -15,12 +15,12 @@
 
 // Final records are too many to be listed; their changes are followed like all others. The versions
 // come last, and only where they are enabled.
-StoreWatcher::StoreWatcher(const Parts& parts)
-    : parts_(parts),
+StoreWatcher::StoreWatcher(const Dependencies& dependencies)
+    : dependencies_(dependencies),
       prefixes_{std::string(followed_keys::kPrerequisiteChunks), std::string(followed_keys::kJobs),
                 std::string(followed_keys::kMachines), std::string(followed_keys::kNodes),
                 std::string(followed_keys::kPartitions)} {
-  if (parts.settings.upgrade.enabled) prefixes_.push_back(codec::version_prefix());
+  if (dependencies.settings.upgrade.enabled) prefixes_.push_back(codec::version_prefix());
 }
 
 // -------------------------------------------------------------------------------- listing
@@ -33,31 +33,31 @@
 
 void StoreWatcher::load_page(std::size_t prefix_index, const std::string& after) {
   if (prefix_index == prefixes_.size()) {
-    parts_.replica.remove_missing(loaded_, revision_);
+    dependencies_.replica.remove_missing(loaded_, revision_);
     watch(0);
     return;
   }
-  parts_.reader.read_page({.prefix = prefixes_[prefix_index], .after = after},
-                          [this, prefix_index, after](const StoreResult<codec::StateList>& page) {
-                            if (page) {
-                              on_page(prefix_index, *page);
-                              return;
-                            }
-                            parts_.runtime.after(k::kRetryMs, [this, prefix_index, after] {
-                              load_page(prefix_index, after);
-                            });
-                          });
+  dependencies_.reader.read_page(
+      {.prefix = prefixes_[prefix_index], .after = after},
+      [this, prefix_index, after](const StoreResult<codec::StateList>& page) {
+        if (page) {
+          on_page(prefix_index, *page);
+          return;
+        }
+        dependencies_.runtime.after(
+            k::kRetryMs, [this, prefix_index, after] { load_page(prefix_index, after); });
+      });
 }
 
 void StoreWatcher::on_page(std::size_t prefix_index, const codec::StateList& page) {
   // Changes since the first page are followed from its revision, so none is missed.
   if (revision_ == 0) {
     revision_ = page.store_revision;
-    parts_.replica.begin_load(revision_);
+    dependencies_.replica.begin_load(revision_);
   }
   for (const auto& row : page.rows) {
     loaded_.insert(row.key);
-    parts_.replica.apply(row, true);
+    dependencies_.replica.apply(row, true);
   }
   if (page.more && !page.rows.empty())
     load_page(prefix_index, page.rows.back().key);
@@ -68,7 +68,7 @@
 // ------------------------------------------------------------------------------ following
 
 void StoreWatcher::watch(Ms wait) {
-  parts_.requests.submit(
+  dependencies_.requests.submit(
       {.method = "GET",
        .path = store_http::watch_path(std::string(followed_keys::kAll), revision_, wait),
        .timeout = wait + k::kWatchSlackMs,
@@ -85,29 +85,29 @@
   const auto changes = reply.status == http_status::kOk ? codec::parse_events(reply.body)
                                                         : codec::status_error(reply.status);
   if (!changes) {
-    parts_.runtime.after(k::kRetryMs, [this] { watch(k::kWatchWaitMs); });
+    dependencies_.runtime.after(k::kRetryMs, [this] { watch(k::kWatchWaitMs); });
     return;
   }
   apply_changes(*changes);
-  parts_.runtime.after(pause(), [this] { watch(k::kWatchWaitMs); });
+  dependencies_.runtime.after(pause(), [this] { watch(k::kWatchWaitMs); });
 }
 
 void StoreWatcher::apply_changes(const codec::StateList& changes) {
-  const ClusterView& view = parts_.replica.view();
-  for (const auto& row : changes.rows) parts_.replica.apply(row, view.ready);
+  const ClusterView& view = dependencies_.replica.view();
+  for (const auto& row : changes.rows) dependencies_.replica.apply(row, view.ready);
   revision_ = std::max(revision_, changes.store_revision);
   const bool first = !view.ready;
-  parts_.replica.applied_up_to(revision_);
+  dependencies_.replica.applied_up_to(revision_);
   if (first) {
-    spdlog::info("view ready node={} revision={} jobs={} machines={}", parts_.settings.node,
+    spdlog::info("view ready node={} revision={} jobs={} machines={}", dependencies_.settings.node,
                  view.store_revision, view.jobs.size(), view.machines.size());
   }
-  parts_.waiters.notify();
+  dependencies_.waiters.notify();
 }
 
 // Following takes no more than a part of the requests, however busy the keys are.
 Ms StoreWatcher::pause() const {
-  const double requests_per_s = parts_.rate_limiter.even_requests() * k::kWatchShare;
+  const double requests_per_s = dependencies_.rate_limiter.even_requests() * k::kWatchShare;
   return std::max(k::kWatchPauseMs, static_cast<Ms>(1000.0 / requests_per_s));
 }
 
--- a/src/state_store/store_watcher.h
+++ b/src/state_store/store_watcher.h
@@ -23,7 +23,7 @@
 class StoreWatcher {
  public:
   /// What it works with; all of it outlives it.
-  struct Parts {
+  struct Dependencies {
     Runtime& runtime;
     const Settings& settings;
     const RateLimiter& rate_limiter;
@@ -32,7 +32,7 @@
     ReplicatedView& replica;
     RevisionWaiters& waiters;
   };
-  explicit StoreWatcher(const Parts& parts);
+  explicit StoreWatcher(const Dependencies& dependencies);
 
   /// Begins with listing the keys.
   void start();
@@ -45,7 +45,7 @@
   void apply_changes(const codec::StateList& changes);
   Ms pause() const;
 
-  Parts parts_;
+  Dependencies dependencies_;
   std::vector<std::string> prefixes_;  // listed in this order
   std::uint64_t revision_ = 0;         // changes are followed from here
   std::set<std::string> loaded_;       // keys met while listing
--- a/src/upgrade/upgrade_json.cc
+++ b/src/upgrade/upgrade_json.cc
@@ -39,7 +39,8 @@
 
 bool get_version(const Value& object, const char* name, ClusterVersion& out) {
   std::uint64_t number = 0;
-  if (!get(object, name, number) || number == 0 || number > kAmountMax) return false;
+  if (!get(object, name, number) || number == 0 || number > static_cast<std::uint64_t>(kAmountMax))
+    return false;
   out = static_cast<ClusterVersion>(number);
   return true;
 }
