--- a/src/api/job_admission.cc
+++ b/src/api/job_admission.cc
@@ -125,7 +125,7 @@
     // Idempotent request: an earlier one has been accepted, here or through another node.
     if (outcome == CasOutcome::conflict || outcome == CasOutcome::superseded)
       return done(Admission::known_before);
-    spdlog::debug("job refused job={} outcome={}", id, static_cast<int>(outcome));
+    spdlog::debug("job refused job={} outcome={}", id, to_string(outcome));
     done(failed(AdmissionFailure::unconfirmed));
   };
   state_store_.compare_and_swap(std::move(commit));
--- a/src/api/job_api.h
+++ b/src/api/job_api.h
@@ -48,6 +48,7 @@
     return state_store_.view().ready && submission_.knows_types() &&
            state_store_.standby_reason().empty();
   }
+  /// How many requests were answered with which status, and how long that took.
   const Counters& counters() const { return metrics_.counters(); }
 
  private:
--- a/src/api/job_submission.h
+++ b/src/api/job_submission.h
@@ -26,6 +26,7 @@
 
   /// The machine types of the cloud; until they are known, no job is admitted.
   void types_known(const std::vector<MachineType>& types) { types_ = types; }
+  /// Whether the machine types of the cloud are known, without which no job is admitted.
   bool knows_types() const { return !types_.empty(); }
 
  private:
--- a/src/api/user_request_metrics.h
+++ b/src/api/user_request_metrics.h
@@ -22,9 +22,12 @@
   /// Each returns a reply that counts itself and then passes on to `reply`. The latency runs from
   /// this call to the reply. This object must outlive the reply.
   Reply count_submit(Reply reply);
+  /// The same for a question about a job.
   Reply count_poll(Reply reply);
+  /// The same for a cancellation.
   Reply count_cancel(Reply reply);
 
+  /// All that was counted since the start.
   const Counters& counters() const { return counters_; }
 
  private:
--- a/src/cli/serve.cc
+++ b/src/cli/serve.cc
@@ -40,8 +40,8 @@
   net::EventLoop loop(*settings);
   Controller controller(loop, *settings);
   const auto on_request = [&](const std::string& method, const std::string& path,
-                              const std::string& body, Reply reply) {
-    controller.request(method, path, body, std::move(reply));
+                              const std::string& body, const Reply& reply) {
+    controller.request(method, path, body, reply);
   };
   const auto on_frame = [&](const std::string& bytes) { controller.frame(bytes); };
   if (const auto listening = loop.listen(on_request, on_frame); !listening) {
--- a/src/codec/record_fields.h
+++ b/src/codec/record_fields.h
@@ -28,12 +28,19 @@
 
 /// The records of state_records.h, each from its value.
 Decoded<PartitionRecord> parse_partition_record(const Value& value);
+/// The record of a machine.
 Decoded<MachineRecord> parse_machine_record(const Value& value);
+/// The record of a controller.
 Decoded<NodeRecord> parse_node_record(const Value& value);
+/// The record of a job, with or without prerequisites.
 Decoded<StoredJob> parse_job_record(const Value& value);
+/// A chunk of the prerequisites of a job.
 Decoded<PrerequisiteChunk> parse_prerequisite_chunk(const Value& value);
+/// The final record of a job; what cannot be read of it is missing.
 StoredEnd parse_final_record(const Value& value);
+/// Done tasks of a job, in either form.
 Decoded<DoneRecord> parse_done_record(const Value& value);
+/// The cluster version and the step that led to it.
 Decoded<VersionRecord> parse_version_record(const Value& value);
 
 }  // namespace eiderreel::codec::fields
--- a/src/codec/state_records.h
+++ b/src/codec/state_records.h
@@ -70,9 +70,13 @@
 
 /// The value of a record. The nonce tells a write of one's own from those of others.
 std::string encode(const PartitionRecord& record, const std::string& nonce);
+/// The value of a machine.
 std::string encode(const MachineRecord& record, const std::string& nonce);
+/// The value of a controller.
 std::string encode(const NodeRecord& record, const std::string& nonce);
+/// The value of a chunk of prerequisites.
 std::string encode(const PrerequisiteChunk& record, const std::string& nonce);
+/// The value of the cluster version.
 std::string encode(const VersionRecord& record, const std::string& nonce);
 /// The record of an accepted job, with all of its prerequisites.
 std::string encode(const JobSpec& spec, const std::string& nonce);
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -71,8 +71,8 @@
 void Controller::frame(const std::string& bytes) { peers_.receive(bytes); }
 
 void Controller::request(const std::string& method, const std::string& path,
-                         const std::string& body, Reply reply) {
-  http_router_.serve(method, path, body, std::move(reply));
+                         const std::string& body, const Reply& reply) {
+  http_router_.serve(method, path, body, reply);
 }
 
 }  // namespace eiderreel
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -24,10 +24,11 @@
 
   /// A request to `api_addr`. `reply` is called once, at once or later.
   void request(const std::string& method, const std::string& path, const std::string& body,
-               Reply reply);
+               const Reply& reply);
   /// A message from a peer, without the length of its frame.
   void frame(const std::string& bytes);
 
+  /// What /metrics and /status tell of: the settings and the parts of the controller.
   const Settings& settings() const { return settings_; }
   const StateStoreClient& state_store() const { return state_store_; }
   const PartitionLeader& partition_leader() const { return partition_leader_; }
--- a/src/controller/http_router.cc
+++ b/src/controller/http_router.cc
@@ -41,11 +41,10 @@
 }
 
 void HttpRouter::serve(const std::string& method, const std::string& path, const std::string& body,
-                       Reply reply) {
+                       const Reply& reply) {
   if (body.size() > k::kBodyMax)
     return reply(http_status::kContentTooLarge, codec::error_body("the body is over 64 KiB"));
-  if (upgrade::is_upgrade_path(path))
-    return upgrade::serve(upgrades_, method, path, body, std::move(reply));
+  if (upgrade::is_upgrade_path(path)) return upgrade::serve(upgrades_, method, path, body, reply);
   const auto found = routes_.find(path);
   const bool is_job = path.starts_with(kJobsPrefix);
   if (found == routes_.end() && !is_job)
--- a/src/controller/http_router.h
+++ b/src/controller/http_router.h
@@ -24,7 +24,7 @@
   /// Answers a request, at once or later; `reply` is called once. Here it is answered with 404 for
   /// an unknown path, 405 for a wrong method and 413 for a body over constants::kBodyMax.
   void serve(const std::string& method, const std::string& path, const std::string& body,
-             Reply reply);
+             const Reply& reply);
 
  private:
   struct Route {
--- a/src/fleet/fleet_manager.h
+++ b/src/fleet/fleet_manager.h
@@ -35,6 +35,7 @@
 
   FleetManager(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
                PartitionLeader& partition_leader);
+  /// Begins to read the catalog; to be called once.
   void start(Hooks hooks);
   /// Every constants::kTickMs.
   void tick();
@@ -46,6 +47,7 @@
   std::uint64_t provisioned_count() const { return provisioner_.provisioned_count(); }
   /// Machines that the cloud has deleted for this process.
   std::uint64_t terminated_count() const { return terminator_.terminated_count(); }
+  /// The client of the cloud, for its counters.
   const CloudClient& cloud() const { return cloud_; }
 
  private:
--- a/src/fleet/machine_catalog.h
+++ b/src/fleet/machine_catalog.h
@@ -21,7 +21,9 @@
   /// Reads the catalog again when it is due; every constants::kTickMs.
   void tick();
 
+  /// Whether no machine type is known yet.
   bool empty() const { return types_.empty(); }
+  /// The machine types as last read.
   const std::vector<MachineType>& types() const { return types_; }
   /// The type of that name; null: the catalog has none. Valid until the catalog is read again.
   const MachineType* find(const std::string& name) const { return find_type(types_, name); }
--- a/src/fleet/machine_inventory.h
+++ b/src/fleet/machine_inventory.h
@@ -45,6 +45,7 @@
 
   /// Machines listed and not proven gone since.
   std::size_t size() const { return machines_.size(); }
+  /// Machines that are provisioned or listed, and have no partition yet.
   std::vector<PendingMachine> pending_machines() const;
 
  private:
--- a/src/fleet/machine_provisioner.h
+++ b/src/fleet/machine_provisioner.h
@@ -49,6 +49,7 @@
   std::uint64_t provisioned_count() const { return provisioned_count_; }
   /// The machine is up, or gone.
   void forget(const std::string& machine) { provisioned_.erase(machine); }
+  /// Forgets all machines that are on their way.
   void forget_all() { provisioned_.clear(); }
   /// Forgets the machines that are up, and those that the cloud has not listed for `patience` ms.
   void drop_lost(const std::set<std::string>& listed, Ms patience);
--- a/src/leadership/conversion_rate_limiter.h
+++ b/src/leadership/conversion_rate_limiter.h
@@ -24,6 +24,7 @@
     recent_ += static_cast<double>(values);
   }
 
+  /// Values that this process has converted.
   std::uint64_t converted() const { return converted_; }
   /// Values converted a second, averaged over constants::kConversionRateMs.
   double values_per_s() const { return recent_ * 1000.0 / constants::kConversionRateMs; }
--- a/src/leadership/heartbeat_router.h
+++ b/src/leadership/heartbeat_router.h
@@ -31,8 +31,10 @@
         claims_(claims),
         commands_(commands),
         counters_(counters) {}
+  /// Sets who assigns unknown machines; to be called once.
   void start(Assign assign) { assign_ = std::move(assign); }
 
+  /// Takes a heartbeat in; `reply` is called once, at once or later.
   void receive(const Heartbeat& heartbeat, Reply reply);
   /// Sends on the held heartbeats for which it is now known where they belong.
   void release_held();
--- a/src/leadership/job_finalizer.cc
+++ b/src/leadership/job_finalizer.cc
@@ -75,7 +75,7 @@
       persistence->final_commit.reset();
   }
   spdlog::warn("job not-final job={} phase={} fencing_token={} outcome={}", job,
-               codec::phase_name(phase), term.fencing_token, static_cast<int>(outcome));
+               codec::phase_name(phase), term.fencing_token, to_string(outcome));
   reply(http_status::kServiceUnavailable,
         codec::error_body("the state service did not confirm; ask again"));
 }
--- a/src/leadership/leadership_votes.h
+++ b/src/leadership/leadership_votes.h
@@ -25,6 +25,7 @@
   /// is due.
   std::optional<peer_rpc::VoteRequest> next_request(
       std::vector<std::pair<int, std::uint64_t>> partitions);
+  /// Takes in the vote of a peer; one that was not asked for is ignored.
   void receive(const std::string& node, const peer_rpc::Vote& vote);
 
  private:
--- a/src/leadership/led_partition.h
+++ b/src/leadership/led_partition.h
@@ -53,6 +53,7 @@
   std::vector<std::string> garbage_keys;              ///< to be deleted, see GarbageCollector
   Ms look_for_conversion_at = 0;  ///< nothing was left to convert when last looked for
 
+  /// The partition and the fencing token under which it is led.
   LeadershipTerm term() const { return {scheduler->index(), scheduler->fencing_token()}; }
   /// Removes and returns the deferred reply of this machine; null: there is none.
   Reply take_deferred(const std::string& machine);
--- a/src/leadership/partition_claims.h
+++ b/src/leadership/partition_claims.h
@@ -36,6 +36,7 @@
   void claim_vacant();
   /// The key of a partition has changed in the view.
   void partition_changed(int partition);
+  /// This controller has lost its lease: nothing is led any more.
   void lease_lost();
   /// Whether a claim of ours is on its way, or in doubt.
   bool may_land(int partition) const;
--- a/src/leadership/partition_leader.h
+++ b/src/leadership/partition_leader.h
@@ -57,21 +57,28 @@
   void transfer_machines(const peer_rpc::TransferRequest& request);
   /// See PartitionMachines::cordon.
   void cordon(const peer_rpc::CordonRequest& request);
+  /// A peer has sent its status.
   void peer_status(const std::string& node, const peer_rpc::PeerStatus& status);
   /// The cloud has said that these machines are gone.
   void machines_terminated(const std::vector<std::string>& machines);
   /// Our vote on a peer's request that we do not claim its partitions for a while.
   peer_rpc::Vote vote_on(const std::string& node, const peer_rpc::VoteRequest& request);
+  /// A peer has answered a request for votes.
   void receive_vote(const std::string& node, const peer_rpc::Vote& vote);
   /// The machine types that the cloud offers.
   void types_known(const std::vector<MachineType>& types);
 
   // --- changes of the replicated view, see ReplicatedView::Events ---
   void job_opened(const std::string& job);
+  /// The last prerequisite of a job is durably done.
   void job_ready(const std::string& job);
+  /// The record of a job is gone: it is over.
   void job_closed(const std::string& job);
+  /// Jobs that depend on this one ask more, or less, of it.
   void urgency_changed(const std::string& job);
+  /// The record of a machine has changed, or is gone.
   void machine_changed(const std::string& machine);
+  /// The claim of a partition has changed, or is gone.
   void partition_changed(int partition);
   /// This node's lease in the state store is over.
   void lease_lost();
@@ -91,6 +98,7 @@
   /// The schedulers of the partitions led here. The pointers hold until control returns to the
   /// event loop.
   std::map<int, const PartitionScheduler*> partitions() const;
+  /// All that was counted since the start.
   const Counters& counters() const { return counters_; }
   /// How far the conversion of stored progress has come in our partitions; nothing where cluster
   /// versions are disabled.
--- a/src/leadership/peer_directory.h
+++ b/src/leadership/peer_directory.h
@@ -17,6 +17,7 @@
   PeerDirectory(Runtime& runtime, const Settings& settings, StateStoreClient& state_store)
       : runtime_(runtime), settings_(settings), state_store_(state_store) {}
 
+  /// Takes in the status of a peer.
   void receive(const std::string& node, const peer_rpc::PeerStatus& status);
 
   /// Whether the peer has sent a status lately.
--- a/src/leadership/progress_plan.h
+++ b/src/leadership/progress_plan.h
@@ -52,6 +52,7 @@
   std::vector<std::string> deletes;     ///< keys
   std::vector<std::uint32_t> recorded;  ///< of the tasks to be recorded, those in `writes`
 
+  /// Whether there is nothing to write.
   bool empty() const { return size() == 0; }
   /// The number of changes.
   std::size_t size() const { return writes.size() + deletes.size(); }
--- a/src/leadership/worker_liveness.h
+++ b/src/leadership/worker_liveness.h
@@ -13,7 +13,9 @@
 
   /// A worker has sent a heartbeat.
   void heard() { silent_ms_ = 0; }
+  /// Counts the silence, and probes a worker when it lasts.
   void tick();
+  /// Whether this controller hears workers, as far as it can tell.
   bool hears_workers() const;
 
  private:
--- a/src/scheduler/image_catalog.h
+++ b/src/scheduler/image_catalog.h
@@ -13,6 +13,7 @@
   std::size_t number(const std::string& image) {
     return numbers_.try_emplace(image, numbers_.size()).first->second;
   }
+  /// How many images have a number.
   std::size_t size() const { return numbers_.size(); }
   /// Forgets all numbers. Whoever holds one has to ask again.
   void clear() { numbers_.clear(); }
--- a/src/scheduler/job_queue.h
+++ b/src/scheduler/job_queue.h
@@ -21,12 +21,14 @@
 
   /// The job of that id; null: it is not open here.
   ScheduledJob* find(const std::string& id) const;
+  /// How many jobs are open.
   std::size_t size() const { return jobs_.size(); }
   /// All open jobs in the order in which they are served.
   const std::vector<ScheduledJob*>& jobs() const { return order_; }
 
   /// Takes in a job. Its times, its priority and its tasks are set already.
   void open(std::unique_ptr<ScheduledJob> job, Ms now);
+  /// Removes a job; an unknown one is ignored.
   void close(const std::string& id);
   /// Puts a task that was bound back into the queue.
   void requeue(ScheduledJob& job, std::uint32_t index, Ms now);
--- a/src/scheduler/machine_pool.h
+++ b/src/scheduler/machine_pool.h
@@ -29,8 +29,10 @@
   MachinePool(std::uint64_t fencing_token, Ms claimed_at)
       : fencing_token_(fencing_token), claimed_at_(claimed_at) {}
 
+  /// All machines, by id and in no order.
   Machines::const_iterator begin() const { return machines_.begin(); }
   Machines::const_iterator end() const { return machines_.end(); }
+  /// How many machines there are.
   std::size_t size() const { return machines_.size(); }
   /// The machine of that name; null: it is not of this partition.
   ScheduledMachine* find(const std::string& id) const;
@@ -43,13 +45,16 @@
   /// Adds a machine, or takes over a newer revision of its key. `fresh`: it was assigned after our
   /// claim.
   void add(const std::string& id, std::uint64_t revision, bool fresh, Ms now);
+  /// Removes a machine; an unknown one is ignored.
   void erase(const std::string& id);
   /// Takes over the types of the cloud's catalog.
   void set_types(const std::vector<MachineType>& types);
   /// The type of that name; null: the catalog has none.
   const MachineType* type(const std::string& name) const;
+  /// Of all machine types, seconds.
   double longest_boot_s() const;
 
+  /// The fencing token of the partition.
   std::uint64_t fencing_token() const { return fencing_token_; }
   /// Invariant 2: the fencing token of a machine is the newest revision of its partition's or its
   /// own key.
--- a/src/scheduler/partition_scheduler.h
+++ b/src/scheduler/partition_scheduler.h
@@ -57,7 +57,9 @@
   PartitionScheduler(const PartitionScheduler&) = delete;
   PartitionScheduler& operator=(const PartitionScheduler&) = delete;
 
+  /// The number of the partition.
   int index() const;
+  /// The revision of the claim of the partition.
   std::uint64_t fencing_token() const;
 
   // --- machines ---
@@ -66,7 +68,9 @@
   void add_machine(const std::string& id, std::uint64_t revision, bool fresh, Ms now);
   /// Takes a machine out of the partition, with proof that all on it is gone.
   void remove_machine(const std::string& id);
+  /// Whether the machine belongs to the partition.
   bool has_machine(const std::string& id) const;
+  /// All machines, in ascending order.
   std::vector<std::string> machine_names() const;
   /// The fencing token for commands to this machine.
   std::uint64_t fencing_token_of(const std::string& id) const;
@@ -74,7 +78,9 @@
   void set_types(const std::vector<MachineType>& types);
   /// Marks an idle machine as on its way out; false when it is not idle.
   bool begin_transfer(const std::string& id);
+  /// The machine stays after all.
   void end_transfer(const std::string& id);
+  /// Whether the machine is reconciled and holds nothing.
   bool idle(const std::string& id) const;
   /// Idle machines of one kind, the longest idle first, of up to so many CPUs together. `rested`:
   /// only those that have held nothing for so long that they may go back.
@@ -99,8 +105,11 @@
   /// What the jobs that wait for this one ask of it: at least this priority, and to be over by
   /// then.
   void set_urgency(const std::string& id, Priority priority, std::optional<Ms> finish_by);
+  /// Whether the job is open here.
   bool has_job(const std::string& id) const;
+  /// How many jobs are open here.
   std::size_t job_count() const;
+  /// What users are told of an open job; nothing: it is not open here.
   std::optional<JobStatus> status(const std::string& id) const;
   /// The revision of the job's record; 0: it is not open.
   std::uint64_t job_revision(const std::string& id) const;
@@ -110,6 +119,7 @@
   bool is_complete(const std::string& id) const;
   /// A final commit is on its way: nothing of the job is started any more.
   void begin_finalizing(const std::string& id);
+  /// Whether a final record of the job is on its way.
   bool is_finalizing(const std::string& id) const;
   /// Its user has cancelled it: its tasks are killed.
   void cancel_job(const std::string& id);
@@ -151,9 +161,11 @@
 
   /// What the cluster leader is told.
   PartitionLoad load(Ms now) const;
+  /// Jobs and tasks by their state.
   TaskCounts task_counts() const;
   /// Jobs and machines looked at for heartbeats since the start.
   std::uint64_t steps() const;
+  /// How many images have a number, for tests of its bound.
   std::size_t images_known() const;
   /// Tasks preempted since the last call.
   std::uint64_t take_preemptions();
--- a/src/scheduler/scheduled_job.h
+++ b/src/scheduler/scheduled_job.h
@@ -60,7 +60,9 @@
 
   std::optional<ImageSurvey> image_survey;
 
+  /// Whether its tasks run until it is cancelled.
   bool is_service() const { return spec.kind == JobKind::service; }
+  /// Whether all its tasks are done.
   bool is_complete() const { return done == spec.tasks; }
   /// CPUs of all tasks that wait.
   double queued_cpus() const { return queued * spec.cpus; }
--- a/src/scheduler/scheduled_machine.h
+++ b/src/scheduler/scheduled_machine.h
@@ -89,6 +89,7 @@
   bool schedulable(Ms now) const;
   /// The same, but for a machine that is cordoned.
   bool accepts_tasks(Ms now) const { return schedulable(now) && cordoned_until <= now; }
+  /// How full the machine is, in steps.
   FillLevel fill_level() const;
   /// CPUs kept free for the next services.
   double service_headroom() const;
--- a/src/scheduler/task_commands.h
+++ b/src/scheduler/task_commands.h
@@ -15,7 +15,9 @@
 
 /// The commands for one attempt of a task.
 Command launch_command(const TaskKey& key, std::uint64_t attempt);
+/// Stops an attempt; it has `grace_s` seconds to save.
 Command kill_command(const TaskKey& key, std::uint64_t attempt, double grace_s);
+/// Removes an exited attempt from the heartbeats.
 Command clear_command(const TaskKey& key, std::uint64_t attempt);
 
 /// Tells the task to end, in the commands `out`. Returns whether it is gone at once, since it has
--- a/src/scheduler/team_usage.h
+++ b/src/scheduler/team_usage.h
@@ -16,12 +16,16 @@
  public:
   explicit TeamUsage(std::vector<Team> teams);
 
+  /// How many teams there are.
   std::size_t size() const { return teams_.size(); }
   /// The index of the team of that name; none: it is not of this partition.
   std::optional<std::size_t> find(const std::string& name) const;
+  /// A task of the team now holds so much.
   void take(std::size_t team, const Resources& size);
+  /// A task of the team holds so much no longer.
   void give_back(std::size_t team, const Resources& size);
 
+  /// CPUs that tasks of the team hold.
   double used_cpus(std::size_t team) const { return used_[team].cpus; }
   /// CPUs that the team may take until it meets its quota.
   double quota_room(std::size_t team) const;
--- a/src/state_store/replicated_view.h
+++ b/src/state_store/replicated_view.h
@@ -36,7 +36,9 @@
   };
 
   explicit ReplicatedView(Runtime& runtime) : runtime_(runtime) {}
+  /// Sets who is told of changes; to be called once.
   void start(Events events) { events_ = std::move(events); }
+  /// What is known now.
   const ClusterView& view() const { return view_; }
 
   /// Keys are listed anew: which jobs ended since the changes that were missed is not known.
--- a/src/state_store/request_queue.h
+++ b/src/state_store/request_queue.h
@@ -47,6 +47,7 @@
 
   /// When the state store last executed a request of ours.
   Ms last_good() const { return last_good_; }
+  /// All that was counted since the start.
   const Counters& counters() const { return counters_; }
   /// How many requests wait to be sent.
   std::size_t size() const { return queue_.size(); }
--- a/src/state_store/state_store_client.h
+++ b/src/state_store/state_store_client.h
@@ -53,6 +53,7 @@
 
   /// What this node knows of the followed keys.
   const ClusterView& view() const { return replica_.view(); }
+  /// The replica of the watched keys.
   ReplicatedView& replica() { return replica_; }
   const ReplicatedView& replica() const { return replica_; }
   /// The lease of this node; 0: there is none.
@@ -92,6 +93,7 @@
   StoreUsage use() const { return rate_limiter_.use(); }
   /// What a peer has said that it takes.
   void peer_use(const std::string& node, const StoreUsage& use);
+  /// Requests by status, and those that were refused here.
   const Counters& counters() const { return requests_.counters(); }
   /// How many requests wait for the rate limiter.
   std::size_t pending() const { return requests_.size(); }
--- a/src/upgrade/step_names.h
+++ b/src/upgrade/step_names.h
@@ -23,7 +23,9 @@
   unknown,  // no answer: it may be done, or may still be
 };
 
+/// The name of the action in requests and records.
 const char* to_string(Action action);
+/// The name of the outcome in answers and records.
 const char* to_string(StepOutcome outcome);
 /// The value with this name; the error names the field `action`.
 tl::expected<Action, FieldError> parse_action(const std::string& text);
--- a/src/upgrade/step_plan.h
+++ b/src/upgrade/step_plan.h
@@ -20,6 +20,7 @@
   std::uint64_t record_revision = 0;      // 0: it has no record; it is away, or must not act
   std::optional<BuildVersions> versions;  // nothing: a build from before cluster versions
 
+  /// Whether the controller has a record, so that it runs.
   bool present() const { return record_revision != 0; }
 };
 
@@ -50,6 +51,7 @@
   std::vector<Obstacle> obstacles;
   bool needs_census = false;  // the stored progress has to be read before the step
 
+  /// Whether the step can be taken now.
   bool possible() const { return to && obstacles.empty(); }
 };
 
--- a/src/upgrade/upgrade_json.h
+++ b/src/upgrade/upgrade_json.h
@@ -21,11 +21,14 @@
 
 /// The bodies of the answers.
 std::string encode(const upgrade::StepPlan& plan);
+/// The outcome of a step, with its plan.
 std::string encode(const upgrade::StepAnswer& answer);
+/// The answer to `upgrade status`.
 std::string encode(const upgrade::StatusReport& report);
 
 /// The history in the state store: one key for each record, in the order of time.
 std::string history_prefix();
+/// The key of a record; keys sort by time.
 std::string history_key(Ms at, const std::string& nonce);
 /// The value of a record, with the nonce of the commit that writes it.
 std::string encode(const upgrade::StepRecord& record, const std::string& nonce);
--- a/src/versioning/cluster_version.h
+++ b/src/versioning/cluster_version.h
@@ -40,6 +40,7 @@
   ClusterVersion oldest = kFirstVersion;
   ClusterVersion newest = kNewestVersion;
 
+  /// Whether a build of this range can act under the version.
   bool contains(ClusterVersion version) const { return oldest <= version && version <= newest; }
   bool operator==(const VersionRange&) const = default;
 };
