--- a/src/leadership/machine_transfers.cc
+++ b/src/leadership/machine_transfers.cc
@@ -59,7 +59,7 @@
     LedPartition* led = led_.find(term);
     if (!led) return;
     if (outcome == CasOutcome::unknown) return retry(term, machines, again);
-    for (const auto& machine : machines) led->scheduler->end_transfer(machine);
+    for (const auto& machine : machines) led->scheduler->cancel_transfer(machine);
   };
   state_store_.compare_and_swap(std::move(swap));
 }
--- a/src/leadership/worker_commands.cc
+++ b/src/leadership/worker_commands.cc
@@ -34,7 +34,7 @@
   PartitionScheduler& scheduler = *led.scheduler;
   if (!led_.acting(scheduler.index())) return;
   const Ms now = runtime_.now();
-  const bool has_waiting = scheduler.has_waiting();
+  const bool has_waiting = scheduler.has_waiting_tasks();
   std::vector<std::string> machines;
   for (const auto& [machine, waiting] : led.deferred) machines.push_back(machine);
   if (has_waiting) machines = scheduler.fullest_first(std::move(machines));
--- a/src/scheduler/capacity_totals.cc
+++ b/src/scheduler/capacity_totals.cc
@@ -19,7 +19,7 @@
   total_cpus_ = 0;
   largest_machine_cpus_ = 0;
   with_image_.assign(images_.size(), 0.0);
-  smallest_array_task_ = jobs_.smallest_array_task();
+  smallest_array_task_ = jobs_.smallest_array_task_cpus();
   for (const auto& [id, entry] : machines_) {
     const ScheduledMachine& machine = *entry;
     if (!machine.accepts_tasks(now)) continue;
@@ -46,9 +46,9 @@
 
 double CapacityTotals::usable_free_cpus(const ScheduledMachine& machine) const {
   const double cpus =
-      std::max(0.0, machine.type->cpus - machine.taken.cpus - machine.service_headroom());
+      std::max(0.0, machine.type->cpus - machine.used.cpus - machine.service_headroom());
   if (smallest_array_task_ <= 0) return cpus;
-  return std::floor(cpus / smallest_array_task_ + kRounding) * smallest_array_task_;
+  return std::floor(cpus / smallest_array_task_ + kRoundingTolerance) * smallest_array_task_;
 }
 
 double CapacityTotals::free_for(const ScheduledJob& job) const {
--- a/src/scheduler/consolidation.cc
+++ b/src/scheduler/consolidation.cc
@@ -54,9 +54,8 @@
   const bool by_kind = totals_.cost_saving();
   for (const auto& [id, machine] : machines_)
     if (machine->accepts_tasks(now) && machine->consolidating == consolidating)
-      keyed.emplace_back(
-          Key{by_kind && machine->spot, machine->empty_at(), machine->taken.cpus, id},
-          machine.get());
+      keyed.emplace_back(Key{by_kind && machine->spot, machine->empty_at(), machine->used.cpus, id},
+                         machine.get());
   std::sort(keyed.begin(), keyed.end());
   std::vector<ScheduledMachine*> machines;
   machines.reserve(keyed.size());
--- a/src/scheduler/delay_scheduling.cc
+++ b/src/scheduler/delay_scheduling.cc
@@ -21,17 +21,18 @@
   const bool has_image = machine.images.contains(job.image);
   if (waited >= (has_image ? constants::kServicePackMs : constants::kImageWaitMs)) return false;
   const ImageSurvey& survey = survey_image(job, now);
-  if (!has_image) return survey.found;
+  if (!has_image) return survey.any_with_room;
   // Joining pays only where the heartbeat of such a machine is likely within the wait.
   return survey.service_machines >= constants::kServiceMachines &&
-         machine.service_cpus < survey.most_service_cpus * constants::kServicesAlike;
+         machine.service_cpus < survey.max_service_cpus * constants::kServicesAlike;
 }
 
 // Looks at all machines, so at most once a tick for each service that waits.
 const ImageSurvey& DelayScheduling::survey_image(ScheduledJob& job, Ms now) {
-  if (job.image_survey && now - job.image_survey->at < constants::kTickMs) return *job.image_survey;
+  if (job.image_survey && now - job.image_survey->surveyed_at < constants::kTickMs)
+    return *job.image_survey;
   ImageSurvey& survey = job.image_survey.emplace();
-  survey.at = now;
+  survey.surveyed_at = now;
   for (const auto& [id, machine] : machines_) {
     ++steps_;
     if (!machine->accepts_tasks(now) ||
@@ -39,8 +40,8 @@
         !machine->images.contains(job.image) ||
         !may_host(job.spec, *machine->type, machine->zone, machine->spot))
       continue;
-    survey.found = true;
-    survey.most_service_cpus = std::max(survey.most_service_cpus, machine->service_cpus);
+    survey.any_with_room = true;
+    survey.max_service_cpus = std::max(survey.max_service_cpus, machine->service_cpus);
     if (machine->service_cpus > 0) ++survey.service_machines;
   }
   return survey;
--- a/src/scheduler/draining.cc
+++ b/src/scheduler/draining.cc
@@ -22,8 +22,8 @@
   // Those that run empty already first, then the emptiest; to be drained, the soonest empty.
   const auto key = [now, drain](const ScheduledMachine* machine) {
     return std::tuple((drain ? machine->drain_until : machine->cordoned_until) < now,
-                      drain ? std::max(now, machine->arrays_end()) : 0, machine->service_cpus,
-                      machine->taken.cpus, machine->id);
+                      drain ? std::max(now, machine->arrays_end_at()) : 0, machine->service_cpus,
+                      machine->used.cpus, machine->id);
   };
   std::sort(candidates.begin(), candidates.end(),
             [&](const ScheduledMachine* a, const ScheduledMachine* b) { return key(a) < key(b); });
--- a/src/scheduler/heartbeat_reconciler.h
+++ b/src/scheduler/heartbeat_reconciler.h
@@ -1,4 +1,5 @@
-// What a machine's heartbeat proves of the tasks on it, and what its answer has to carry.
+// Reconciles the bound tasks of a machine with the tasks that its heartbeats report, and builds the
+// heartbeat reply.
 #pragma once
 #include <set>
 #include <vector>
@@ -15,21 +16,21 @@
 
 namespace eiderreel {
 
-/// Brings the bindings of a machine into line with its heartbeats.
+/// Updates the lease state and the bound tasks of a machine from its heartbeats.
 class HeartbeatReconciler {
  public:
   HeartbeatReconciler(const SchedulingPolicy& policy, MachinePool& machines, const JobQueue& jobs,
                       TaskBindings& bindings)
       : policy_(policy), machines_(machines), jobs_(jobs), bindings_(bindings) {}
 
-  /// Takes in a heartbeat. The answer has the kills and clears, but no launches.
+  /// Processes a heartbeat. The reply contains kill and clear commands, but no launches.
   HeartbeatReply reconcile(const Heartbeat& heartbeat, Ms now);
 
  private:
-  // What a heartbeat shows of the tasks on its machine.
-  struct ShownTasks {
-    std::set<TaskKey> on_machine;
-    bool new_start = false;  // one that no heartbeat had shown before
+  // Summary of the tasks that one heartbeat reports.
+  struct ReportedTasks {
+    std::set<TaskKey> on_machine;   // reported and not exited
+    bool launch_confirmed = false;  // at least one bound task is reported for the first time
   };
 
   bool is_outdated(const ScheduledMachine& machine, const Heartbeat& heartbeat) const;
@@ -37,12 +38,12 @@
   void update_machine(ScheduledMachine& machine, const Heartbeat& heartbeat, Ms now) const;
   HeartbeatReply announce_token(ScheduledMachine& machine, const Heartbeat& heartbeat,
                                 Ms now) const;
-  std::vector<Command> owed_kills(const Heartbeat& heartbeat) const;
+  std::vector<Command> kills_for_ended_jobs(const Heartbeat& heartbeat) const;
   void reconcile_task(ScheduledMachine& machine, const TaskStatus& status, Ms now,
-                      ShownTasks& shown, std::vector<Command>& out);
+                      ReportedTasks& reported, std::vector<Command>& commands);
   void reconcile_exited(ScheduledMachine& machine, const TaskStatus& status, const BoundTask* bound,
-                        Ms now, std::vector<Command>& out);
-  BoundTask& bind_found(ScheduledMachine& machine, const TaskStatus& status, Ms now);
+                        Ms now, std::vector<Command>& commands);
+  BoundTask& bind_reported(ScheduledMachine& machine, const TaskStatus& status, Ms now);
   bool release_missing(ScheduledMachine& machine, const std::set<TaskKey>& on_machine, Ms now);
   ScheduledJob* find_job(const TaskStatus& status) const;
 
--- a/src/scheduler/heartbeat_reply.h
+++ b/src/scheduler/heartbeat_reply.h
@@ -1,4 +1,4 @@
-// How a controller answers a heartbeat.
+// The reply of a controller to a heartbeat.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -7,13 +7,15 @@
 
 namespace eiderreel {
 
-/// Whether a heartbeat counts.
+/// Whether a heartbeat is accepted.
 enum class HeartbeatVerdict : std::uint8_t {
-  ok,     // answer with the commands
-  stale,  // an older message, or one above our fencing token: answer 503, learn nothing
+  ok,  // accepted; the reply has the commands
+  // Rejected with status 503: the heartbeat is outdated or its fencing token is above this
+  // leader's, and its contents are ignored; or the replies to the machine are being lost.
+  stale,
 };
 
-/// The answer to a heartbeat, without the launches of new tasks.
+/// The reply to a heartbeat, without the launches of new tasks.
 struct HeartbeatReply {
   HeartbeatVerdict verdict = HeartbeatVerdict::ok;
   std::uint64_t fencing_token = 0;
--- a/src/scheduler/job_queue.cc
+++ b/src/scheduler/job_queue.cc
@@ -1,4 +1,4 @@
-// The order of the queue, and what the jobs in it expect.
+// The order of the queue, and statistics of the objectives of its jobs.
 #include "scheduler/job_queue.h"
 
 #include <algorithm>
@@ -17,13 +17,14 @@
 namespace eiderreel {
 namespace {
 
-// The job with the smaller value goes first. `delay`: the job counts as if it could start so much
-// later than it can.
-auto queue_position(const ScheduledJob& job, Ms delay) {
-  // Best-effort work starved behind a queue of higher priority that never ended.
+// Sort key of a job; the smallest key is served first. `delay_ms` is added to the job's latest
+// start, so that the job counts as less urgent.
+auto queue_position(const ScheduledJob& job, Ms delay_ms) {
+  // Best-effort jobs starved behind an endless supply of jobs with higher priority, so a starved
+  // job is served with at least standard priority.
   const Priority priority = job.starved ? std::max(job.priority, Priority::standard) : job.priority;
   return std::tuple(-static_cast<int>(priority), !job.starved, job.missed_objectives,
-                    job.latest_start + delay, job.revision);
+                    job.latest_start + delay_ms, job.revision);
 }
 
 }  // namespace
@@ -34,18 +35,19 @@
 }
 
 void JobQueue::open(std::unique_ptr<ScheduledJob> job, Ms now) {
-  learn_expectations(*job);
+  update_expectations(*job);
   order_.push_back(job.get());
   sort(now);
   jobs_[job->spec.id] = std::move(job);
 }
 
-void JobQueue::learn_expectations(const ScheduledJob& job) {
+void JobQueue::update_expectations(const ScheduledJob& job) {
   if (job.is_service()) return;
   const JobSpec& spec = job.spec;
   if (spec.deadline_s) {
-    const double left_s = *spec.deadline_s - static_cast<double>(job.ready - job.submitted) / 1000;
-    const double slack = std::max(0.0, left_s - spec.estimate_s);
+    const double remaining_s =
+        *spec.deadline_s - static_cast<double>(job.ready_at - job.submitted_at) / 1000;
+    const double slack = std::max(0.0, remaining_s - spec.estimate_s);
     slack_s_ = slack_s_ == 0 ? slack : slack_s_ + (slack - slack_s_) * constants::kSlackWeight;
   }
   const auto objective = policy_.start_objectives_s.find(spec.jobclass);
@@ -57,7 +59,7 @@
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return;
   order_.erase(std::find(order_.begin(), order_.end(), found->second.get()));
-  waiting_valid_ = false;
+  waiting_jobs_valid_ = false;
   jobs_.erase(found);
 }
 
@@ -66,18 +68,18 @@
   job.tasks[index] = TaskState::queued;
   if (job.queued++ == 0) {
     job.waiting_since = now;
-    waiting_valid_ = false;
+    waiting_jobs_valid_ = false;
   }
   job.first_queued = std::min(job.first_queued, index);
 }
 
-// Within a priority, the oldest job goes first if nothing is expected of it. Where an objective or
-// a deadline stands, the latest start takes the place of the age: an extension of the design,
-// measured (see docs/design.md). A job that can no longer meet an objective lets those that can go
-// first, but not for ever.
+// Within a priority, jobs without objective or deadline are served oldest first. For a job with an
+// objective or a deadline the latest start replaces the age; this extends the design (measurements
+// in docs/design.md). A job that can no longer meet an objective is served after those that can,
+// but only for a limited time (see `ScheduledJob::update_urgency`).
 void JobQueue::sort(Ms now) {
   sorted_at_ = now;
-  waiting_valid_ = false;
+  waiting_jobs_valid_ = false;
   for (ScheduledJob* job : order_) job->update_urgency(now);
   std::stable_sort(order_.begin(), order_.end(), [](const ScheduledJob* a, const ScheduledJob* b) {
     return queue_position(*a, 0) < queue_position(*b, 0);
@@ -88,43 +90,43 @@
   if (now - sorted_at_ >= constants::kReorderMs) sort(now);
 }
 
-const std::vector<ScheduledJob*>& JobQueue::waiting() {
-  if (waiting_valid_) return waiting_;
-  waiting_.clear();
+const std::vector<ScheduledJob*>& JobQueue::waiting_jobs() {
+  if (waiting_jobs_valid_) return waiting_jobs_;
+  waiting_jobs_.clear();
   smallest_waiting_cpus_ = 0;
   for (ScheduledJob* job : order_) {
     if (job->queued == 0) continue;
     smallest_waiting_cpus_ =
-        waiting_.empty() ? job->spec.cpus : std::min(smallest_waiting_cpus_, job->spec.cpus);
-    waiting_.push_back(job);
+        waiting_jobs_.empty() ? job->spec.cpus : std::min(smallest_waiting_cpus_, job->spec.cpus);
+    waiting_jobs_.push_back(job);
   }
-  waiting_valid_ = true;
-  return waiting_;
+  waiting_jobs_valid_ = true;
+  return waiting_jobs_;
 }
 
-// A job whose image the machine would have to fetch lets those go first that are nearly as urgent
-// and need no fetch. Room held for a fetch does no work: with 23 images on 390 machines a fifth of
-// all room was held so.
-std::vector<ScheduledJob*> JobQueue::waiting_for(const ScheduledMachine& machine) {
-  std::vector<std::pair<ScheduledJob*, Ms>> delayed;
-  bool any_fetch = false;
-  for (ScheduledJob* job : waiting()) {
+// Jobs whose image the machine would have to fetch are served after jobs that are nearly as urgent
+// and need no fetch. Room held during a fetch is idle: with 23 images on 390 machines a fifth of
+// all room was held by fetches.
+std::vector<ScheduledJob*> JobQueue::waiting_jobs_for(const ScheduledMachine& machine) {
+  std::vector<std::pair<ScheduledJob*, Ms>> ranked;
+  bool fetch_needed = false;
+  for (ScheduledJob* job : waiting_jobs()) {
     ++steps_;
-    delayed.emplace_back(job, machine.fetch_ms(*job) * constants::kFetchWeight);
-    any_fetch |= delayed.back().second > 0;
+    ranked.emplace_back(job, machine.fetch_ms(*job) * constants::kFetchWeight);
+    fetch_needed |= ranked.back().second > 0;
   }
-  if (any_fetch)
-    std::stable_sort(delayed.begin(), delayed.end(), [](const auto& a, const auto& b) {
+  if (fetch_needed)
+    std::stable_sort(ranked.begin(), ranked.end(), [](const auto& a, const auto& b) {
       return queue_position(*a.first, a.second) < queue_position(*b.first, b.second);
     });
   std::vector<ScheduledJob*> jobs;
-  jobs.reserve(delayed.size());
-  for (const auto& [job, delay] : delayed) jobs.push_back(job);
+  jobs.reserve(ranked.size());
+  for (const auto& [job, delay_ms] : ranked) jobs.push_back(job);
   return jobs;
 }
 
-bool JobQueue::has_waiting() {
-  const auto& jobs = waiting();
+bool JobQueue::has_waiting_tasks() {
+  const auto& jobs = waiting_jobs();
   return std::any_of(jobs.begin(), jobs.end(),
                      [](const ScheduledJob* job) { return job->queued > 0 && !job->finalizing; });
 }
@@ -136,7 +138,7 @@
   return sum;
 }
 
-double JobQueue::smallest_array_task() const {
+double JobQueue::smallest_array_task_cpus() const {
   double smallest = 0;
   for (const ScheduledJob* job : order_)
     if (!job->is_service() && (smallest == 0 || job->spec.cpus < smallest))
--- a/src/scheduler/job_queue.h
+++ b/src/scheduler/job_queue.h
@@ -1,4 +1,4 @@
-// The queue of a partition: in which order its jobs are served, and which of them wait.
+// The job queue of a partition: the order in which jobs are served, and which of them are waiting.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -14,60 +14,62 @@
 
 namespace eiderreel {
 
-/// Owns the open jobs of a partition and keeps them in order.
+/// Owns the open jobs of a partition and keeps them in the order in which they are served.
 class JobQueue {
  public:
   explicit JobQueue(const SchedulingPolicy& policy) : policy_(policy) {}
 
-  /// The job of that id; null: it is not open here.
+  /// The job with this id; null if it is not open in this partition.
   ScheduledJob* find(const std::string& id) const;
-  /// How many jobs are open.
+  /// The number of open jobs.
   std::size_t size() const { return jobs_.size(); }
   /// All open jobs in the order in which they are served.
   const std::vector<ScheduledJob*>& jobs() const { return order_; }
 
-  /// Takes in a job. Its times, its priority and its tasks are set already.
+  /// Adds a job, whose times, priority and tasks have been set by the caller.
   void open(std::unique_ptr<ScheduledJob> job, Ms now);
   /// Removes a job; an unknown one is ignored.
   void close(const std::string& id);
-  /// Puts a task that was bound back into the queue.
+  /// Puts a bound task back into the queue.
   void requeue(ScheduledJob& job, std::uint32_t index, Ms now);
 
-  /// Brings the jobs into order.
+  /// Updates the urgency of all jobs and sorts them.
   void sort(Ms now);
-  /// Sorts if the order is older than it may be.
+  /// Sorts if the last sort is `kReorderMs` or longer ago.
   void sort_if_due(Ms now);
 
-  /// The jobs that have tasks to start, in order. Those that have none any more may still be there.
-  const std::vector<ScheduledJob*>& waiting();
-  /// CPUs of the smallest task of the jobs that `waiting` has returned last.
+  /// The jobs with queued tasks, in order. The list is cached: jobs whose last queued task has been
+  /// bound since may still be in it.
+  const std::vector<ScheduledJob*>& waiting_jobs();
+  /// CPUs of the smallest task among the jobs that the last call of `waiting_jobs` returned.
   double smallest_waiting_cpus() const { return smallest_waiting_cpus_; }
   /// The waiting jobs in the order in which this machine serves them.
-  std::vector<ScheduledJob*> waiting_for(const ScheduledMachine& machine);
-  /// Whether some task could start now.
-  bool has_waiting();
+  std::vector<ScheduledJob*> waiting_jobs_for(const ScheduledMachine& machine);
+  /// Whether any task is queued whose job is not finalizing.
+  bool has_waiting_tasks();
 
-  /// CPUs of all tasks that could start now.
+  /// CPUs of all queued tasks whose job is not finalizing and not backing off.
   double waiting_cpus(Ms now) const;
-  /// CPUs of the smallest task of the open arrays; 0: there are none.
-  double smallest_array_task() const;
+  /// CPUs of the smallest task among the open array jobs; 0 if there are none.
+  double smallest_array_task_cpus() const;
 
-  /// The usual time in seconds between a job's estimate and its deadline; 0: unknown.
+  /// The usual slack of jobs in seconds: the moving average of the time left until the deadline,
+  /// less the estimated run time; 0 if unknown.
   double slack_s() const { return slack_s_; }
-  /// The shortest time in seconds in which an array should start; 0: none is stated.
+  /// The shortest start objective of array jobs, in seconds; 0 if none is set.
   double wait_s() const { return wait_s_; }
-  /// Jobs looked at by `waiting_for` since the start.
+  /// Number of jobs examined by `waiting_jobs_for` since the start.
   std::uint64_t steps() const { return steps_; }
 
  private:
-  void learn_expectations(const ScheduledJob& job);
+  void update_expectations(const ScheduledJob& job);
 
   const SchedulingPolicy& policy_;
   std::unordered_map<std::string, std::unique_ptr<ScheduledJob>> jobs_;
   std::vector<ScheduledJob*> order_;
   Ms sorted_at_ = 0;
-  std::vector<ScheduledJob*> waiting_;  // as long as `waiting_valid_`
-  bool waiting_valid_ = false;
+  std::vector<ScheduledJob*> waiting_jobs_;  // cache, valid while `waiting_jobs_valid_`
+  bool waiting_jobs_valid_ = false;
   double smallest_waiting_cpus_ = 0;
   double slack_s_ = 0;
   double wait_s_ = 0;
--- a/src/scheduler/load_report.cc
+++ b/src/scheduler/load_report.cc
@@ -1,4 +1,4 @@
-// The load of a partition, from its queue and its machines.
+// Computes the load of a partition from its queue and its machines.
 #include "scheduler/load_report.h"
 
 #include <algorithm>
@@ -26,26 +26,28 @@
 }
 
 void LoadReport::add_jobs(PartitionLoad& load, Ms now) const {
-  std::vector<double> quota_room(teams_.size());
+  std::vector<double> quota_left(teams_.size());
   for (std::size_t team = 0; team < teams_.size(); ++team) {
-    quota_room[team] = teams_.quota_room(team);
+    quota_left[team] = teams_.quota_room(team);
     load.used_cpus += teams_.used_cpus(team);
   }
   for (const ScheduledJob* job : jobs_.jobs()) {
     if (job->is_service()) load.used_service_cpus += job->bound * job->spec.cpus;
     if (job->queued == 0 || job->finalizing || job->not_before > now) continue;
-    const double wanted = std::min(job->queued_cpus(), quota_room[job->team]);
-    quota_room[job->team] -= wanted;
-    load.waiting_cpus += wanted;
-    // A job that waits beside room of other partitions, on machines that never run empty.
-    if (job->bound == 0 && wanted >= job->spec.cpus)
+    const double demand_cpus = std::min(job->queued_cpus(), quota_left[job->team]);
+    quota_left[job->team] -= demand_cpus;
+    load.waiting_cpus += demand_cpus;
+    // Longest wait of a job without bound tasks although its team's quota allows one: other
+    // partitions may have room for it, on machines that never run empty.
+    if (job->bound == 0 && demand_cpus >= job->spec.cpus)
       load.waited_s = std::max(load.waited_s, static_cast<double>(now - job->waiting_since) / 1000);
-    if (job->spec.spot) load.waiting_spot_cpus += wanted;
-    if (job->is_service()) load.waiting_service_cpus += wanted;
+    if (job->spec.spot) load.waiting_spot_cpus += demand_cpus;
+    if (job->is_service()) load.waiting_service_cpus += demand_cpus;
     load.waiting_core_s += job->queued_cpus() * job->spec.estimate_s;
     if (load.unschedulable.size() >= constants::kUnschedulableMost) continue;
-    if (const double lack = std::min(wanted, unschedulable_cpus(*job, now)); lack > 0)
-      load.unschedulable.emplace_back(job->spec.id, lack);
+    if (const double shortage_cpus = std::min(demand_cpus, unschedulable_cpus(*job, now));
+        shortage_cpus > 0)
+      load.unschedulable.emplace_back(job->spec.id, shortage_cpus);
   }
 }
 
@@ -65,26 +67,29 @@
   }
 }
 
-// What a job that is bound to a zone or to types waits for beyond the room on machines that fit.
+// The CPUs that a job restricted to a zone or to machine types lacks: those of its queued tasks,
+// less the room on machines that it may use.
 double LoadReport::unschedulable_cpus(const ScheduledJob& job, Ms now) const {
   const JobSpec& spec = job.spec;
   const bool restricted = !spec.zone.empty() || !spec.types.empty();
   if (!restricted || now - job.waiting_since < constants::kUnschedulableAfterMs) return 0;
-  double lack = job.queued_cpus();
+  double shortage_cpus = job.queued_cpus();
   for (const auto& [id, machine] : machines_)
-    if (lack > 0 && machine->accepts_tasks(now) &&
+    if (shortage_cpus > 0 && machine->accepts_tasks(now) &&
         may_host(spec, *machine->type, machine->zone, machine->spot))
-      lack -= std::floor((machine->type->cpus - machine->taken.cpus) / spec.cpus) * spec.cpus;
-  return std::max(0.0, lack);
+      shortage_cpus -=
+          std::floor((machine->type->cpus - machine->used.cpus) / spec.cpus) * spec.cpus;
+  return std::max(0.0, shortage_cpus);
 }
 
-std::vector<std::string> LoadReport::idle_machines(bool spot, double cpus, bool rested,
+std::vector<std::string> LoadReport::idle_machines(bool spot, double cpus, bool only_releasable,
                                                    Ms now) const {
   std::vector<const ScheduledMachine*> idle;
   for (const auto& [id, machine] : machines_)
-    // One that was let run empty is given away at once; its advice is renewed all the time.
+    // Cordoned machines are included: one that was cordoned to run empty is released as soon as it
+    // is idle, and the cordon is renewed continually.
     if (machine->spot == spot && machine->schedulable(now) && machine->tasks.empty() &&
-        (!rested || now - machine->idle_since >= totals_.idle_keep_ms()))
+        (!only_releasable || now - machine->idle_since >= totals_.idle_keep_ms()))
       idle.push_back(machine.get());
   std::sort(idle.begin(), idle.end(), [](const ScheduledMachine* a, const ScheduledMachine* b) {
     return std::tie(a->idle_since, a->id) < std::tie(b->idle_since, b->id);
--- a/src/scheduler/load_report.h
+++ b/src/scheduler/load_report.h
@@ -1,4 +1,4 @@
-// What a partition lacks and what it can give away.
+// The unmet demand and the idle capacity of a partition.
 #pragma once
 #include <string>
 #include <vector>
@@ -12,18 +12,20 @@
 
 namespace eiderreel {
 
-/// Looks at a partition for the cluster leader. Changes nothing.
+/// Measures the load of a partition for the cluster leader. Read-only.
 class LoadReport {
  public:
   LoadReport(const TeamUsage& teams, const MachinePool& machines, const JobQueue& jobs,
              const CapacityTotals& totals)
       : teams_(teams), machines_(machines), jobs_(jobs), totals_(totals) {}
 
-  /// What the cluster leader is told.
+  /// The load that is reported to the cluster leader.
   PartitionLoad measure(Ms now) const;
-  /// Idle machines of one kind, the longest idle first, of up to so many CPUs together. `rested`:
-  /// only those that have held nothing for so long that they may go back.
-  std::vector<std::string> idle_machines(bool spot, double cpus, bool rested, Ms now) const;
+  /// Idle machines, either spot or on-demand, the longest idle first, with at most `cpus` CPUs in
+  /// total. `only_releasable`: only those that have been idle long enough to be returned to the
+  /// cloud.
+  std::vector<std::string> idle_machines(bool spot, double cpus, bool only_releasable,
+                                         Ms now) const;
 
  private:
   void add_jobs(PartitionLoad& load, Ms now) const;
--- a/src/scheduler/machine_health.cc
+++ b/src/scheduler/machine_health.cc
@@ -1,4 +1,4 @@
-// The quarantine of machines.
+// Quarantine of machines and backoff of failing jobs.
 #include "scheduler/machine_health.h"
 
 #include <algorithm>
@@ -19,32 +19,35 @@
 
 }  // namespace
 
-// A machine that fails everything is told apart from a job that fails everywhere: a job that
-// failed on several machines no longer counts against machines, and pauses itself instead.
+// Distinguishes a faulty machine from a faulty job: once a job without a completed task has failed
+// on several machines, its failures no longer count against machines, and the job backs off
+// instead.
 void record_failure(ScheduledMachine& machine, ScheduledJob& job, Ms now) {
-  // Not for ever; the machine may be well again, and the only one with room.
+  // The job avoids the machine for a limited time only: the machine may recover, and it may be the
+  // only one with room.
   job.avoided_machines[machine.id] = now + constants::kQuarantineMaxMs;
   if (static_cast<int>(job.avoided_machines.size()) >= constants::kJobBadMachines &&
       job.done == 0) {
-    job.backoff = job.backoff > 0 ? std::min(job.backoff * 2, constants::kJobBackoffMaxMs)
-                                  : constants::kJobBackoffMs;
-    job.not_before = now + job.backoff;
+    job.backoff_ms = job.backoff_ms > 0 ? std::min(job.backoff_ms * 2, constants::kJobBackoffMaxMs)
+                                        : constants::kJobBackoffMs;
+    job.not_before = now + job.backoff_ms;
     return;
   }
-  if (++machine.errors < constants::kUnhealthyErrors) return;
-  // After the quarantine a single failure begins the next one.
-  machine.errors = constants::kUnhealthyErrors - 1;
+  if (++machine.consecutive_failures < constants::kUnhealthyErrors) return;
+  // After the quarantine a single further failure starts the next one.
+  machine.consecutive_failures = constants::kUnhealthyErrors - 1;
   quarantine(machine, now);
 }
 
 void record_success(ScheduledMachine& machine) {
-  machine.errors = 0;
+  machine.consecutive_failures = 0;
   machine.quarantine_ms = 0;
 }
 
-// The heartbeats of the machine arrive, but our answers do not reach it. Each 200 counts as an
-// answer that it may have had, so its lease would never seem over, and it would be given tasks
-// again and again. One lost answer proves nothing: it then gets one task at a time until one shows.
+// The machine's heartbeats arrive, but the replies do not reach it. Each reply with status 200
+// counts as one that may have renewed the lease, so without this count the lease would never
+// expire, and the machine would be given tasks again and again. A single lost reply may be chance:
+// after it the machine gets one task at a time until a heartbeat reports one.
 void record_lost_reply(ScheduledMachine& machine, Ms now) {
   if (++machine.lost_replies >= constants::kInboundLossAnswers) quarantine(machine, now);
 }
--- a/src/scheduler/machine_pool.cc
+++ b/src/scheduler/machine_pool.cc
@@ -1,4 +1,4 @@
-// Keeps the machines of a partition.
+// Adds, removes and ranks the machines of a partition.
 #include "scheduler/machine_pool.h"
 
 #include <algorithm>
@@ -30,19 +30,20 @@
 }
 
 std::vector<std::string> MachinePool::fullest_first(std::vector<std::string> ids) const {
-  using Key = std::tuple<FillLevel, double, double>;
-  std::vector<std::pair<Key, std::string>> keyed;
+  using Rank = std::tuple<FillLevel, double, double>;
+  std::vector<std::pair<Rank, std::string>> ranked;
   for (std::string& id : ids)
     if (const ScheduledMachine* machine = find(id))
-      keyed.emplace_back(Key{machine->fill_level(), machine->service_cpus, machine->taken.cpus},
-                         std::move(id));
-  std::sort(keyed.begin(), keyed.end(), std::greater<>());
+      ranked.emplace_back(Rank{machine->fill_level(), machine->service_cpus, machine->used.cpus},
+                          std::move(id));
+  std::sort(ranked.begin(), ranked.end(), std::greater<>());
   ids.clear();
-  for (auto& [key, id] : keyed) ids.push_back(std::move(id));
+  for (auto& [rank, id] : ranked) ids.push_back(std::move(id));
   return ids;
 }
 
-void MachinePool::add(const std::string& id, std::uint64_t revision, bool fresh, Ms now) {
+void MachinePool::add(const std::string& id, std::uint64_t revision, bool assigned_after_claim,
+                      Ms now) {
   auto& machine = machines_[id];
   if (machine) {
     machine->revision = std::max(machine->revision, revision);
@@ -51,10 +52,10 @@
   machine = std::make_unique<ScheduledMachine>();
   machine->id = id;
   machine->revision = revision;
-  machine->reconciled = fresh;
+  machine->reconciled = assigned_after_claim;
   unreconciled_valid_ = false;
-  // Invariant 5: the last answer another leader could have given is not later than our claim.
-  machine->last_reply = fresh ? now : claimed_at_;
+  // Invariant 5: no other leader can have replied later than this leader's claim.
+  machine->last_ok_reply_at = assigned_after_claim ? now : claimed_at_;
   machine->last_heartbeat = now;
   machine->idle_since = now;
 }
@@ -91,8 +92,8 @@
   machine.reconciled = true;
 }
 
-void MachinePool::add_unknown_tasks(ScheduledMachine& machine, int by) {
-  machine.unknown_tasks += by;
+void MachinePool::add_unknown_tasks(ScheduledMachine& machine, int delta) {
+  machine.unknown_tasks += delta;
   unreconciled_valid_ = false;
 }
 
--- a/src/scheduler/machine_pool.h
+++ b/src/scheduler/machine_pool.h
@@ -1,4 +1,4 @@
-// The machines of a partition, and how much is not known of them yet.
+// The machines of a partition, and totals of those whose tasks are not fully known yet.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -14,11 +14,11 @@
 
 namespace eiderreel {
 
-/// Machines that may hold what we do not know of.
+/// Totals of the machines that may run tasks which this leader doesn't know.
 struct UnreconciledMachines {
-  std::size_t count = 0;      // those that have not sent a heartbeat under our fencing token
-  std::size_t on_demand = 0;  // of them, those that are not spot machines
-  double cpus = 0;            // of all that may hold unknown tasks, reconciled or not
+  std::size_t count = 0;      // those without a heartbeat that carries this leader's fencing token
+  std::size_t on_demand = 0;  // those of `count` that are not spot machines
+  double cpus = 0;            // of all machines that may run unknown tasks, reconciled or not
 };
 
 /// Owns the machines and the catalog of their types.
@@ -29,43 +29,45 @@
   MachinePool(std::uint64_t fencing_token, Ms claimed_at)
       : fencing_token_(fencing_token), claimed_at_(claimed_at) {}
 
-  /// All machines, by id and in no order.
+  /// Iterates over all machines with their ids, in no particular order.
   Machines::const_iterator begin() const { return machines_.begin(); }
   Machines::const_iterator end() const { return machines_.end(); }
-  /// How many machines there are.
+  /// The number of machines.
   std::size_t size() const { return machines_.size(); }
-  /// The machine of that name; null: it is not of this partition.
+  /// The machine with this id; null if it is not in this partition.
   ScheduledMachine* find(const std::string& id) const;
-  /// All names, in alphabetical order.
+  /// The ids of all machines, in alphabetical order.
   std::vector<std::string> names() const;
-  /// Those of these machines that are in the pool, in the order in which they are to be filled: the
-  /// most services first, then the fullest, so that others run empty.
+  /// Those of these machines that are in the pool, in the order in which they are to be filled:
+  /// machines with services first, by CPUs of services, then the fullest, so that the others run
+  /// empty.
   std::vector<std::string> fullest_first(std::vector<std::string> ids) const;
 
-  /// Adds a machine, or takes over a newer revision of its key. `fresh`: it was assigned after our
-  /// claim.
-  void add(const std::string& id, std::uint64_t revision, bool fresh, Ms now);
-  /// Removes a machine; an unknown one is ignored.
+  /// Adds a machine, or updates the revision of its key if it is newer. `assigned_after_claim`: it
+  /// was assigned to the partition after this leader's claim.
+  void add(const std::string& id, std::uint64_t revision, bool assigned_after_claim, Ms now);
+  /// Removes a machine; an unknown id is ignored.
   void erase(const std::string& id);
-  /// Takes over the types of the cloud's catalog.
+  /// Adds or replaces machine types, as listed in the cloud's catalog.
   void set_types(const std::vector<MachineType>& types);
-  /// The type of that name; null: the catalog has none.
+  /// The machine type with this name; null if it is not in the catalog.
   const MachineType* type(const std::string& name) const;
-  /// Of all machine types, seconds.
+  /// The longest boot time of all machine types, in seconds.
   double longest_boot_s() const;
 
   /// The fencing token of the partition.
   std::uint64_t fencing_token() const { return fencing_token_; }
-  /// Invariant 2: the fencing token of a machine is the newest revision of its partition's or its
-  /// own key.
+  /// The fencing token of a machine. Invariant 2: it is the higher of the revisions of the
+  /// machine's own key and of its partition's.
   std::uint64_t fencing_token_of(const ScheduledMachine& machine) const;
 
-  /// All that runs on the machine is known from now on.
+  /// Marks the machine as reconciled: all its tasks are known from now on.
   void mark_reconciled(ScheduledMachine& machine);
-  /// Counts tasks of jobs that we do not know; their size and team are unknown until they are gone.
-  void add_unknown_tasks(ScheduledMachine& machine, int by);
-  /// Counted when it is asked for, as it changes only while machines are heard of for the first
-  /// time.
+  /// Adds `delta` to the machine's number of tasks of unknown jobs; the size and the team of such
+  /// tasks are unknown as long as they run.
+  void add_unknown_tasks(ScheduledMachine& machine, int delta);
+  /// Totals of the machines that may run unknown tasks. Cached, and computed anew on the first call
+  /// after a change: changes are rare once all machines are reconciled.
   const UnreconciledMachines& unreconciled();
 
  private:
--- a/src/scheduler/partition_components.h
+++ b/src/scheduler/partition_components.h
@@ -1,4 +1,4 @@
-// The parts of a partition's scheduler, and how they are wired.
+// The components of a partition's scheduler and their dependencies.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -29,8 +29,9 @@
 
 namespace eiderreel {
 
-/// The state first, then what decides on it. Components hold references to those before them, so
-/// they stay where they are.
+/// Owns the components of one partition: first the state, then the components that make decisions
+/// on it. Components hold references to those declared before them, so the struct can't be copied
+/// or moved, and the order of its members matters.
 struct PartitionComponents {
   PartitionComponents(int partition, std::uint64_t fencing_token, Ms claimed_at,
                       SchedulingPolicy scheduling_policy, std::vector<Team> partition_teams)
@@ -46,13 +47,13 @@
   PartitionComponents& operator=(PartitionComponents&&) = delete;
 
   int index;
-  Ms now;  // of the newest event
+  Ms now;  // time of the newest event
   SchedulingPolicy policy;
   TeamUsage teams;
   ImageCatalog images;
   MachinePool machines;
   JobQueue jobs{policy};
-  std::map<std::string, std::vector<Command>> kills;  // to be sent, by machine
+  std::map<std::string, std::vector<Command>> kills;  // kill commands not sent yet, by machine
 
   CapacityTotals totals{machines, jobs, images};
   Consolidation consolidation{machines, jobs, totals};
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -17,10 +17,10 @@
   std::vector<Command> out;
   const UnreconciledMachines& unreconciled = machines_.unreconciled();
   steps_.draining.move_service(machine, unreconciled, now, out);
-  if (!machine.accepts_tasks(now) || jobs_.waiting().empty()) return out;
+  if (!machine.accepts_tasks(now) || jobs_.waiting_jobs().empty()) return out;
   steps_.reservation.update(machine, unreconciled, now);
   if (has_room_for_smallest(machine)) {
-    const auto order = jobs_.waiting_for(machine);
+    const auto order = jobs_.waiting_jobs_for(machine);
     for (const Pass pass : {Pass::within_fair_share, Pass::borrowing})
       if (out.empty() || machine.lost_replies == 0)
         launch(machine, order, pass, unreconciled, now, out);
@@ -31,7 +31,8 @@
 }
 
 bool Placement::has_room_for_smallest(const ScheduledMachine& machine) const {
-  return machine.taken.cpus + jobs_.smallest_waiting_cpus() <= machine.type->cpus + kRounding;
+  return machine.used.cpus + jobs_.smallest_waiting_cpus() <=
+         machine.type->cpus + kRoundingTolerance;
 }
 
 // Work within a fair share goes first, then borrowing; each in the order of the queue.
@@ -70,8 +71,8 @@
   if (job.queued == 0 || !steps_.rules.fits(machine, job, unreconciled) ||
       steps_.delays.waits_for_fuller(machine, job, now))
     return false;
-  if (!job.is_service() && machine.taken.cpus + job.spec.cpus + machine.service_headroom() >
-                               machine.type->cpus + kRounding)
+  if (!job.is_service() && machine.used.cpus + job.spec.cpus + machine.service_headroom() >
+                               machine.type->cpus + kRoundingTolerance)
     return false;
   return pass == Pass::borrowing || job.starved ||
          teams_.within_fair_share(job.team, job.spec.cpus);
--- a/src/scheduler/placement_rules.cc
+++ b/src/scheduler/placement_rules.cc
@@ -13,9 +13,9 @@
 namespace {
 
 bool has_room(const Resources& taken, const MachineType& type, const JobSpec& spec) {
-  return taken.cpus + spec.cpus <= type.cpus + kRounding &&
-         taken.gpus + spec.gpus <= type.gpus + kRounding &&
-         taken.memory_gb + spec.memory_gb <= type.memory_gb + kRounding;
+  return taken.cpus + spec.cpus <= type.cpus + kRoundingTolerance &&
+         taken.gpus + spec.gpus <= type.gpus + kRoundingTolerance &&
+         taken.memory_gb + spec.memory_gb <= type.memory_gb + kRoundingTolerance;
 }
 
 bool zone_allows(const ScheduledMachine& machine, const ScheduledJob& job) {
--- a/src/scheduler/placement_rules.h
+++ b/src/scheduler/placement_rules.h
@@ -21,7 +21,7 @@
   /// Whether one more task of the job fits: the room here, its team's quota and its zones.
   bool fits(const ScheduledMachine& machine, const ScheduledJob& job,
             const UnreconciledMachines& unreconciled) const {
-    return fits_beside(machine.taken, machine, job, unreconciled);
+    return fits_beside(machine.used, machine, job, unreconciled);
   }
   /// Whether it would fit if of all that runs here only so much stayed.
   bool fits_beside(const Resources& taken, const ScheduledMachine& machine, const ScheduledJob& job,
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -17,8 +17,9 @@
 namespace {
 
 bool covers(const Resources& free, const JobSpec& spec) {
-  return free.cpus + kRounding >= spec.cpus && free.gpus + kRounding >= spec.gpus &&
-         free.memory_gb + kRounding >= spec.memory_gb;
+  return free.cpus + kRoundingTolerance >= spec.cpus &&
+         free.gpus + kRoundingTolerance >= spec.gpus &&
+         free.memory_gb + kRoundingTolerance >= spec.memory_gb;
 }
 
 // The room that is free before the launches of the same answer: what is told to stop without
@@ -42,7 +43,7 @@
       std::max(constants::kReclaimSoonestMs, inputs_.policy.fair_share_start_ms -
                                                  constants::kReclaimMarginMs -
                                                  inputs_.policy.heartbeat_round_ms());
-  for (ScheduledJob* job : jobs_.waiting()) {
+  for (ScheduledJob* job : jobs_.waiting_jobs()) {
     ++steps_;
     const Ms waited = now - job->waiting_since;
     const bool by_priority =
@@ -125,7 +126,8 @@
 
 bool Preemption::may_preempt(const BoundTask& task, const ScheduledJob& job, Ground ground,
                              Ms now) const {
-  if (!task.job || task.stop_grace_s || task.phase == TaskPhase::flushing || now < task.kept_until)
+  if (!task.job || task.stop_grace_s || task.phase == TaskPhase::flushing ||
+      now < task.protected_until)
     return false;
   if (ground == Ground::priority) return task.job->priority < job.priority;
   // A team keeps its own fair share.
--- a/src/scheduler/reservation.cc
+++ b/src/scheduler/reservation.cc
@@ -15,8 +15,8 @@
   if (held_) return;
   // By then every machine has sent a heartbeat since the job starves.
   const Ms after = constants::kStarvedMs + policy_.heartbeat_round_ms();
-  for (const ScheduledJob* job : jobs_.waiting()) {
-    if (!job->starved || now - job->ready < after ||
+  for (const ScheduledJob* job : jobs_.waiting_jobs()) {
+    if (!job->starved || now - job->ready_at < after ||
         !rules_.may_start(machine, *job, unreconciled, now) ||
         rules_.fits(machine, *job, unreconciled))
       continue;
--- a/src/scheduler/resources.h
+++ b/src/scheduler/resources.h
@@ -5,20 +5,20 @@
 
 namespace eiderreel {
 
-/// Sums of sizes carry rounding errors; differences below this one count as none.
-constexpr double kRounding = 1e-9;
+/// Sums of resource amounts carry rounding errors; differences below this tolerance are ignored.
+constexpr double kRoundingTolerance = 1e-9;
 
-/// An amount of each resource that tasks take of their machines.
+/// An amount of each resource that tasks use on machines.
 struct Resources {
   double cpus = 0;
   double gpus = 0;
   double memory_gb = 0;
 
-  /// What a task of the job takes.
+  /// The amounts that one task of the job uses.
   static Resources of(const JobSpec& spec) {
     return {.cpus = spec.cpus, .gpus = spec.gpus, .memory_gb = spec.memory_gb};
   }
-  /// What an empty machine of the type offers.
+  /// The capacity of a machine of the type.
   static Resources of(const MachineType& type) {
     return {.cpus = type.cpus, .gpus = type.gpus, .memory_gb = type.memory_gb};
   }
--- a/src/scheduler/scheduled_job.cc
+++ b/src/scheduler/scheduled_job.cc
@@ -1,4 +1,4 @@
-// A job in its partition's queue: its tasks and its target times.
+// Task states and target times of an open job.
 #include "scheduler/scheduled_job.h"
 
 #include <algorithm>
@@ -45,35 +45,37 @@
 void ScheduledJob::set_target_times(const SchedulingPolicy& policy) {
   target_times.clear();
   const double deadline_s = spec.deadline_s.value_or(0);
-  const auto add = [this](Ms from, double seconds) {
-    if (seconds > 0) target_times.push_back(from + static_cast<Ms>(seconds * 1000));
+  const auto add_target = [this](Ms start, double seconds) {
+    if (seconds > 0) target_times.push_back(start + static_cast<Ms>(seconds * 1000));
   };
   const auto objectives = policy.completion_objectives.find(spec.jobclass);
   if (objectives != policy.completion_objectives.end())
     for (const CompletionObjective& objective : objectives->second) {
       if (objective.times > 0)
-        add(submitted, objective.times * deadline_s);
+        add_target(submitted_at, objective.times * deadline_s);
       else
-        add(ready, objective.within_s);
+        add_target(ready_at, objective.within_s);
     }
-  if (target_times.empty()) add(submitted, deadline_s);
+  if (target_times.empty()) add_target(submitted_at, deadline_s);
   if (finish_by) target_times.push_back(*finish_by);
   std::sort(target_times.begin(), target_times.end());
 }
 
 void ScheduledJob::update_urgency(Ms now) {
-  const Ms run = static_cast<Ms>(spec.estimate_s * 1000) + constants::kStartAllowanceMs;
+  const Ms run_ms = static_cast<Ms>(spec.estimate_s * 1000) + constants::kStartAllowanceMs;
   missed_objectives = 0;
-  // Whatever its objectives, and however many others are more urgent, a job begins in time.
-  starved = !has_started && now - ready >= constants::kStarvedMs;
-  latest_start = ready + constants::kUnboundedMs;
+  // Limits how long a job waits for its first start, whatever its objectives are and however many
+  // other jobs are more urgent.
+  starved = !has_started && now - ready_at >= constants::kStarvedMs;
+  latest_start = ready_at + constants::kUnboundedMs;
   if (target_times.empty()) return;
   std::size_t missed = 0;
-  while (missed < target_times.size() && now + run > target_times[missed]) ++missed;
+  while (missed < target_times.size() && now + run_ms > target_times[missed]) ++missed;
   missed_objectives = static_cast<int>(missed);
-  latest_start = missed < target_times.size() ? target_times[missed] - run : ready;
-  const Ms span = target_times.back() - submitted;
-  if (span > 0 && now - submitted > constants::kPatienceTargets * span) missed_objectives = 0;
+  latest_start = missed < target_times.size() ? target_times[missed] - run_ms : ready_at;
+  const Ms target_span_ms = target_times.back() - submitted_at;
+  if (target_span_ms > 0 && now - submitted_at > constants::kPatienceTargets * target_span_ms)
+    missed_objectives = 0;
 }
 
 }  // namespace eiderreel
--- a/src/scheduler/scheduled_job.h
+++ b/src/scheduler/scheduled_job.h
@@ -1,4 +1,4 @@
-// A job in its partition's queue, and the state of its tasks.
+// An open job in its partition's queue, and the state of its tasks.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -13,72 +13,73 @@
 
 namespace eiderreel {
 
-/// The state of a task. `recorded`: done, and durably so.
+/// The state of a task. `recorded`: done, and durably recorded as done.
 enum class TaskState : std::uint8_t { queued, bound, done, recorded };
 
-/// Which machines have the image of a service that waits, and room that no service takes.
+/// Result of a survey of all machines for a waiting service: those that accept tasks, have its
+/// image cached, and have room for one of its tasks beside the services they run.
 struct ImageSurvey {
-  Ms at = 0;  // when they were looked at
-  bool found = false;
-  double most_service_cpus = 0;  // the most that services take on one of them
-  int service_machines = 0;      // those that run services
+  Ms surveyed_at = 0;           // time of the survey
+  bool any_with_room = false;   // whether there is such a machine
+  double max_service_cpus = 0;  // largest sum of CPUs of services on one of them
+  int service_machines = 0;     // number of them that run services
 };
 
-/// An open job. All its tasks are alike, so that they are told apart by their index alone.
+/// An open job. All its tasks have the same spec and differ only in their index.
 struct ScheduledJob {
   JobSpec spec;
   std::uint64_t revision = 0;
-  bool predates_claim = false;  // its tasks may run on machines that are not reconciled
-  bool finalizing = false;      // a final commit is on its way
-  bool cancelling = false;
-  std::size_t team = 0;   // its index in `TeamUsage`
-  std::size_t image = 0;  // its number in `ImageCatalog`
+  bool predates_claim = false;  // tasks may already run on unreconciled machines
+  bool finalizing = false;      // its final record is being committed
+  bool cancelling = false;      // cancelled by its user; its tasks are being killed
+  std::size_t team = 0;         // index of its team in `TeamUsage`
+  std::size_t image = 0;        // number of its image in `ImageCatalog`
 
   std::vector<TaskState> tasks;
-  std::uint32_t first_queued = 0;  // no task below this one is queued
+  std::uint32_t first_queued = 0;  // no task with a lower index is queued
   std::uint32_t queued = 0;
   std::uint32_t bound = 0;
   std::uint32_t running = 0;
   std::uint32_t done = 0;
-  std::uint32_t unrecorded = 0;  // done, but not durably so
+  std::uint32_t unrecorded = 0;  // done, but not durably recorded
 
-  std::map<std::string, int> zones;            // bound tasks by zone
-  std::map<std::string, Ms> avoided_machines;  // those it failed on, and until when it avoids them
-  Ms not_before = 0;
-  Ms backoff = 0;
+  std::map<std::string, int> zones;            // number of bound tasks by zone
+  std::map<std::string, Ms> avoided_machines;  // machines that a task failed on; avoided until
+  Ms not_before = 0;  // no task is started before; set when the job backs off
+  Ms backoff_ms = 0;  // length of the last backoff after failures
 
-  Ms ready = 0;      // when it was free to start; its acceptance, if it has no prerequisites
-  Ms submitted = 0;  // its deadline counts from here
-  Priority priority = Priority::standard;  // its own, or that of a job which waits for it
-  std::optional<Ms> finish_by;             // so that the jobs which wait for it are in time
-  std::vector<Ms> target_times;            // when it should be complete, the tightest first
-  int missed_objectives = 0;               // objectives that it can no longer meet
-  bool has_started = false;                // a task of it has been on a machine
-  bool starved = false;                    // it has waited too long for that: it goes first
-  Ms latest_start = 0;
-  Ms waiting_since = 0;  // when the first of its queued tasks began to wait
+  Ms ready_at = 0;      // when its last prerequisite was done, or else when it was accepted
+  Ms submitted_at = 0;  // when it was accepted; its deadline counts from then
+  Priority priority = Priority::standard;  // the higher of its own and those of dependent jobs
+  std::optional<Ms> finish_by;             // latest end with which dependent jobs are on time
+  std::vector<Ms> target_times;            // when it should be complete, earliest first
+  int missed_objectives = 0;               // number of target times that it can no longer meet
+  bool has_started = false;                // a task of it has been bound to a machine
+  bool starved = false;  // waited `kStarvedMs` without starting: served first in its priority
+  Ms latest_start = 0;   // latest start that meets the earliest reachable target
+  Ms waiting_since = 0;  // since when tasks of it have been queued
 
   std::optional<ImageSurvey> image_survey;
 
-  /// Whether its tasks run until it is cancelled.
+  /// Whether the job is a service, whose tasks run until it is cancelled.
   bool is_service() const { return spec.kind == JobKind::service; }
-  /// Whether all its tasks are done.
+  /// Whether all tasks of the job are done.
   bool is_complete() const { return done == spec.tasks; }
-  /// CPUs of all tasks that wait.
+  /// CPUs of all queued tasks.
   double queued_cpus() const { return queued * spec.cpus; }
 
-  /// Takes over the tasks that are recorded as done, when the job is opened.
+  /// Restores the tasks that are recorded as done; called when the job is opened.
   void restore_done(const std::vector<std::uint32_t>& indexes);
-  /// Marks a task as done, if it is not yet.
+  /// Marks a task as done; no effect if it is done already.
   void set_done(std::uint32_t index);
-  /// Marks tasks that are done as recorded.
+  /// Marks those of these tasks that are done as durably recorded.
   void set_recorded(const std::vector<std::uint32_t>& indexes);
-  /// The first task that waits. There must be one.
+  /// The index of the first queued task. Precondition: a task is queued.
   std::uint32_t next_queued();
 
   /// Derives the target times from the objectives of the job's class, or else from its deadline.
   void set_target_times(const SchedulingPolicy& policy);
-  /// Works out by when the job must start, and which objectives it misses.
+  /// Computes the latest start, the number of missed target times, and whether the job is starved.
   void update_urgency(Ms now);
 };
 
--- a/src/scheduler/scheduled_machine.cc
+++ b/src/scheduler/scheduled_machine.cc
@@ -1,4 +1,4 @@
-// What a machine's state says of the work that it may take.
+// Predicates and estimates derived from the state of a machine.
 #include "scheduler/scheduled_machine.h"
 
 #include <algorithm>
@@ -10,33 +10,35 @@
 
 bool ScheduledMachine::schedulable(Ms now) const {
   return reconciled && heartbeat_received && !lease_expired && !transferring && type != nullptr &&
-         !taken_at && quarantine_until <= now && unknown_tasks == 0;
+         !reclaim_at && quarantine_until <= now && unknown_tasks == 0;
 }
 
 FillLevel ScheduledMachine::fill_level() const {
   if (service_cpus > 0) return FillLevel::services;
   if (tasks.empty()) return FillLevel::idle;
-  return type && taken.cpus * 2 < type->cpus ? FillLevel::emptier : FillLevel::fuller;
+  return type && used.cpus * 2 < type->cpus ? FillLevel::below_half : FillLevel::at_least_half;
 }
 
-// Without this room arrays would take what a service leaves, and the next service would have to
-// preempt them.
+// Without this headroom, array tasks would use the room beside services, and the next service would
+// have to preempt them.
 double ScheduledMachine::service_headroom() const {
   if (service_cpus <= 0 || !type) return 0;
-  const double most = type->cpus * constants::kReserveShare;
-  return service_size <= most ? std::min(most, constants::kReserveReplicas * service_size) : 0;
+  const double max_reserved_cpus = type->cpus * constants::kReserveShare;
+  return largest_service_cpus <= max_reserved_cpus
+             ? std::min(max_reserved_cpus, constants::kReserveReplicas * largest_service_cpus)
+             : 0;
 }
 
 Ms ScheduledMachine::empty_at() const {
   Ms end = 0;
-  for (const auto& [key, task] : tasks) end = std::max(end, task.ends);
+  for (const auto& [key, task] : tasks) end = std::max(end, task.estimated_end);
   return end;
 }
 
-Ms ScheduledMachine::arrays_end() const {
+Ms ScheduledMachine::arrays_end_at() const {
   Ms end = 0;
   for (const auto& [key, task] : tasks)
-    if (!task.service) end = std::max(end, task.ends);
+    if (!task.service) end = std::max(end, task.estimated_end);
   return end;
 }
 
--- a/src/scheduler/scheduled_machine.h
+++ b/src/scheduler/scheduled_machine.h
@@ -1,4 +1,4 @@
-// A machine as its partition's scheduler sees it, and the tasks bound to it.
+// The scheduler's state of one machine of a partition, and the tasks bound to it.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace eiderreel {
 
-/// A task by its job and its index in that job.
+/// Identifies a task: its job and its index in that job.
 struct TaskKey {
   std::string job;
   std::uint32_t index = 0;
@@ -25,23 +25,24 @@
   }
 };
 
-/// A task on a machine, or sent to it.
+/// A task that is bound to a machine: it runs there, or its launch has been sent.
 struct BoundTask {
-  ScheduledJob* job = nullptr;  // null: an orphan, to be killed
+  ScheduledJob* job = nullptr;  // null for an orphan, which is to be killed
   std::uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::pulling;
-  Resources size;                   // kept by an orphan until it is gone
-  std::optional<std::size_t> team;  // index in `TeamUsage`; none if its job is unknown
+  Resources size;  // what the task uses; an orphan's counts until it is proven gone
+  std::optional<std::size_t> team;  // index in `TeamUsage`; `nullopt` if its job is unknown
   bool service = false;
-  bool seen = false;  // a heartbeat has shown it
-  Ms ends = 0;        // by its submitter's estimate
-  // Set once it has been told to stop: the time in seconds that it was given to save.
+  bool reported = false;  // whether a heartbeat has reported it
+  Ms estimated_end = 0;   // end of the task by its submitter's estimate
+  // Set once the task has been sent a kill: the seconds it has to save a checkpoint.
   std::optional<double> stop_grace_s;
-  Ms kept_until = 0;  // the first task of a job that starved is not preempted before
+  Ms protected_until = 0;  // not preempted before; set for the first task of a starved job
 };
 
-/// How full a machine is, in steps: the higher, the sooner it is filled further.
-enum class FillLevel : std::uint8_t { idle, emptier, fuller, services };
+/// How full a machine is. Tasks are placed on machines of a higher level first. `services`: the
+/// machine runs services, however full it is.
+enum class FillLevel : std::uint8_t { idle, below_half, at_least_half, services };
 constexpr std::size_t kFillLevels = 4;
 
 /// A machine of the partition.
@@ -50,54 +51,57 @@
   std::string addr;  // IP:PORT of its worker
   std::string zone;
   std::string type_name;
-  std::uint64_t revision = 0;  // of the key that assigns it to the partition
+  std::uint64_t revision = 0;  // of the key that assigns the machine to the partition
   bool spot = false;
-  const MachineType* type = nullptr;  // null: not in the catalog
+  const MachineType* type = nullptr;  // null if it is not in the catalog
 
-  bool reconciled = false;  // has sent a heartbeat under our fencing token (or is fresh)
+  bool reconciled = false;  // all its tasks are known: it sent the current token, or it was
+                            // assigned after the claim
   bool heartbeat_received = false;
-  bool transferring = false;   // on its way out of the partition
-  bool lease_expired = false;  // a new incarnation must appear
+  bool transferring = false;   // being transferred out of the partition
+  bool lease_expired = false;  // only a heartbeat with a new incarnation is accepted
   std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;
-  Ms last_reply = 0;  // the last 200 anyone could have given
+  Ms last_ok_reply_at = 0;  // latest time at which any leader can have replied with status 200
   Ms last_heartbeat = 0;
   Ms idle_since = 0;
-  std::optional<Ms> taken_at;  // when the cloud takes it away, once it has given notice
+  std::optional<Ms> reclaim_at;  // when the cloud reclaims the machine, if it has given notice
 
   Ms cordoned_until = 0;
   Ms drain_until = 0;
-  bool consolidating = false;  // takes work only when no other machine can, so that it runs empty
+  bool consolidating = false;  // to run empty: gets tasks only if no other machine can take them
 
   std::map<TaskKey, BoundTask> tasks;
-  Resources taken;
-  double service_cpus = 0;       // the part of the taken CPUs that services have
-  double service_size = 0;       // CPUs of the largest service here
-  int unknown_tasks = 0;         // tasks of jobs that we do not know
-  std::set<std::size_t> images;  // those that a task here has had, or has been sent for
+  Resources used;                   // sum over all tasks, orphans included
+  double service_cpus = 0;          // the part of the used CPUs that services use
+  double largest_service_cpus = 0;  // CPUs of the largest service task bound so far
+  int unknown_tasks = 0;            // number of tasks whose job is not open in this partition
+  std::set<std::size_t> images;     // images that are cached, or being fetched for a task
 
-  int errors = 0;  // failures of tasks without a success between them
+  int consecutive_failures = 0;  // task failures since the last success
   Ms quarantine_until = 0;
-  Ms quarantine_ms = 0;  // length of the last quarantine; 0: healthy since
-  // Signs that answers do not reach the machine: those in a row that left no trace, and those that
-  // told a fencing token which its heartbeats do not show.
+  Ms quarantine_ms = 0;  // length of the last quarantine; 0 after a task success
+  // Signs that replies do not reach the machine: consecutive lost replies, and replies that
+  // announced a fencing token which its heartbeats still lack.
   int lost_replies = 0;
   int token_announcements = 0;
-  Ms first_announced_at = 0;  // the first of the latter
+  Ms first_announced_at = 0;  // time of the first of these token announcements
 
-  /// Whether tasks may be started here at all.
+  /// Whether tasks may be started on the machine, cordons aside.
   bool schedulable(Ms now) const;
-  /// The same, but for a machine that is cordoned.
+  /// Whether the machine is schedulable and not cordoned.
   bool accepts_tasks(Ms now) const { return schedulable(now) && cordoned_until <= now; }
-  /// How full the machine is, in steps.
+  /// The machine's fill level.
   FillLevel fill_level() const;
-  /// CPUs kept free for the next services.
+  /// CPUs that are kept free for further services.
   double service_headroom() const;
-  /// When all that runs here will have ended, by the submitters' estimates.
+  /// When all tasks of the machine will have ended, by the submitters' estimates; 0 if it has none.
   Ms empty_at() const;
-  /// The same of the arrays alone: services can be moved.
-  Ms arrays_end() const;
-  /// How long the machine would take to fetch the job's image; 0 if it has it.
+  /// When all its array tasks will have ended, by the submitters' estimates; services don't count,
+  /// as they can be moved.
+  Ms arrays_end_at() const;
+  /// How long the machine would take to fetch the job's image; 0 if it is cached, or if the fetch
+  /// rate is unknown.
   Ms fetch_ms(const ScheduledJob& job) const;
 };
 
--- a/src/scheduler/task_bindings.cc
+++ b/src/scheduler/task_bindings.cc
@@ -1,4 +1,4 @@
-// Keeps machines, jobs, teams and totals in step.
+// Updates machines, jobs, teams' usage and totals with each binding and release.
 #include "scheduler/task_bindings.h"
 
 #include <algorithm>
@@ -22,14 +22,15 @@
   task.size = Resources::of(job.spec);
   task.team = job.team;
   task.service = job.is_service();
-  task.ends = now + static_cast<Ms>(job.spec.estimate_s * 1000);
+  task.estimated_end = now + static_cast<Ms>(job.spec.estimate_s * 1000);
   totals_.add_free(machine, -task.size.cpus);
-  machine.taken += task.size;
+  machine.used += task.size;
   if (task.service) {
     machine.service_cpus += task.size.cpus;
-    machine.service_size = std::max(machine.service_size, task.size.cpus);
+    machine.largest_service_cpus = std::max(machine.largest_service_cpus, task.size.cpus);
   }
-  // From now on it has the image or fetches it, so whoever needs it too is best sent here.
+  // The machine has the image cached or fetches it from now on, so it counts as cached when further
+  // tasks with this image are placed.
   machine.images.insert(job.image);
   teams_.take(job.team, task.size);
   if (job.tasks[index] == TaskState::queued) {
@@ -49,8 +50,8 @@
   task = {};
   task.attempt = status.attempt;
   task.phase = status.phase;
-  task.seen = true;
-  task.ends = now;
+  task.reported = true;
+  task.estimated_end = now;
   task.stop_grace_s = 0;
   if (job) {
     task.size = Resources::of(job->spec);
@@ -59,7 +60,7 @@
   } else {
     machines_.add_unknown_tasks(machine, 1);
   }
-  machine.taken += task.size;
+  machine.used += task.size;
   return task;
 }
 
@@ -68,11 +69,11 @@
   if (found == machine.tasks.end()) return;
   const BoundTask task = found->second;
   machine.tasks.erase(found);
-  machine.taken -= task.size;
+  machine.used -= task.size;
   if (task.service) machine.service_cpus -= task.size.cpus;
   if (!task.team) machines_.add_unknown_tasks(machine, -1);
-  if (machine.tasks.empty()) {  // no rounding errors are kept
-    machine.taken = {};
+  if (machine.tasks.empty()) {  // resets accumulated rounding errors
+    machine.used = {};
     machine.service_cpus = 0;
   }
   totals_.add_free(machine, task.size.cpus);
--- a/src/scheduler/task_commands.cc
+++ b/src/scheduler/task_commands.cc
@@ -1,4 +1,4 @@
-// Launches and kills.
+// Builds launch, kill and clear commands.
 #include "scheduler/task_commands.h"
 
 #include <cstdint>
@@ -24,29 +24,30 @@
   return {CommandType::clear, key.job, key.index, attempt, 0};
 }
 
-bool stop_task(const TaskKey& key, BoundTask& task, std::vector<Command>& out) {
+bool stop_task(const TaskKey& key, BoundTask& task, std::vector<Command>& commands) {
   const JobSpec& spec = task.job->spec;
-  const bool saves = spec.checkpoint_s > 0 && task.phase == TaskPhase::running;
-  const double grace_s = saves ? spec.save_s : 0;
+  const bool saves_checkpoint = spec.checkpoint_s > 0 && task.phase == TaskPhase::running;
+  const double grace_s = saves_checkpoint ? spec.save_s : 0;
   task.stop_grace_s = grace_s;
-  out.push_back(kill_command(key, task.attempt, grace_s));
-  return !saves;
+  commands.push_back(kill_command(key, task.attempt, grace_s));
+  return !saves_checkpoint;
 }
 
 void TaskLauncher::start(ScheduledMachine& machine, ScheduledJob& job, Ms now,
-                         std::vector<Command>& out) {
+                         std::vector<Command>& commands) {
   const std::uint32_t index = job.next_queued();
-  // Invariant 2: the attempt is the fencing token shifted, plus a counter.
+  // Invariant 2: the attempt number is the fencing token, shifted left, plus a counter.
   const std::uint64_t attempt =
-      (machines_.fencing_token_of(machine) << constants::kAttemptBits) + ++counter_;
-  const Ms fetch = machine.fetch_ms(job);  // the binding counts its image as there
+      (machines_.fencing_token_of(machine) << constants::kAttemptBits) + ++attempt_counter_;
+  const Ms image_fetch_ms =
+      machine.fetch_ms(job);  // read before `bind`, which counts the image as cached
   BoundTask& task = bindings_.bind(machine, job, index, attempt, TaskPhase::pulling, now);
   if (job.starved) {
-    task.kept_until = now + fetch + constants::kBegunMs;
-    job.starved = false;  // it has begun: the next task takes its turn
+    task.protected_until = now + image_fetch_ms + constants::kBegunMs;
+    job.starved = false;  // the job has started: its further tasks have no precedence
     reservation_.job_started(job);
   }
-  out.push_back(launch_command({job.spec.id, index}, attempt));
+  commands.push_back(launch_command({job.spec.id, index}, attempt));
 }
 
 }  // namespace eiderreel
--- a/src/scheduler/task_commands.h
+++ b/src/scheduler/task_commands.h
@@ -1,4 +1,4 @@
-// The commands that workers are given.
+// The commands that are sent to workers.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -13,31 +13,31 @@
 
 namespace eiderreel {
 
-/// The commands for one attempt of a task.
+/// Starts an attempt of a task.
 Command launch_command(const TaskKey& key, std::uint64_t attempt);
-/// Stops an attempt; it has `grace_s` seconds to save.
+/// Stops an attempt; it has `grace_s` seconds to save a checkpoint.
 Command kill_command(const TaskKey& key, std::uint64_t attempt, double grace_s);
-/// Removes an exited attempt from the heartbeats.
+/// Makes the worker drop an exited attempt from its heartbeats.
 Command clear_command(const TaskKey& key, std::uint64_t attempt);
 
-/// Tells the task to end, in the commands `out`. Returns whether it is gone at once, since it has
-/// nothing to save.
-bool stop_task(const TaskKey& key, BoundTask& task, std::vector<Command>& out);
+/// Adds a kill of the task to `commands`, with time to save if it writes checkpoints. Returns
+/// whether the kill takes effect at once, as the task has nothing to save.
+bool stop_task(const TaskKey& key, BoundTask& task, std::vector<Command>& commands);
 
-/// Starts tasks, under attempt numbers that are unique for ever.
+/// Launches tasks, with attempt numbers that are never reused.
 class TaskLauncher {
  public:
   TaskLauncher(const MachinePool& machines, TaskBindings& bindings, Reservation& reservation)
       : machines_(machines), bindings_(bindings), reservation_(reservation) {}
 
-  /// Starts the first task of the job that waits on this machine, by a command in `out`.
-  void start(ScheduledMachine& machine, ScheduledJob& job, Ms now, std::vector<Command>& out);
+  /// Binds the job's first queued task to the machine and adds its launch to `commands`.
+  void start(ScheduledMachine& machine, ScheduledJob& job, Ms now, std::vector<Command>& commands);
 
  private:
   const MachinePool& machines_;
   TaskBindings& bindings_;
   Reservation& reservation_;
-  std::uint64_t counter_ = 0;
+  std::uint64_t attempt_counter_ = 0;
 };
 
 }  // namespace eiderreel
--- a/src/scheduler/team_usage.cc
+++ b/src/scheduler/team_usage.cc
@@ -34,16 +34,17 @@
                              double unreconciled_cpus) const {
   const Team& limits = teams_[team];
   const Resources& used = used_[team];
-  if (used.cpus + spec.cpus + unreconciled_cpus > limits.quota_cpus + kRounding) return false;
-  return spec.gpus <= 0 || used.gpus + spec.gpus <= limits.quota_gpus + kRounding;
+  if (used.cpus + spec.cpus + unreconciled_cpus > limits.quota_cpus + kRoundingTolerance)
+    return false;
+  return spec.gpus <= 0 || used.gpus + spec.gpus <= limits.quota_gpus + kRoundingTolerance;
 }
 
 bool TeamUsage::within_fair_share(std::size_t team, double cpus) const {
-  return used_[team].cpus + cpus <= teams_[team].fair_share_cpus + kRounding;
+  return used_[team].cpus + cpus <= teams_[team].fair_share_cpus + kRoundingTolerance;
 }
 
 bool TeamUsage::keeps_fair_share(std::size_t team, double given, double cpus) const {
-  return used_[team].cpus - given - cpus >= teams_[team].fair_share_cpus - kRounding;
+  return used_[team].cpus - given - cpus >= teams_[team].fair_share_cpus - kRoundingTolerance;
 }
 
 }  // namespace eiderreel
--- a/tests/scheduler/heartbeats_test.cc
+++ b/tests/scheduler/heartbeats_test.cc
@@ -128,7 +128,7 @@
                       task("run-1", 1, starts[1].attempt)});
   };
   EXPECT_TRUE(partition.on_heartbeat(done(), 200).commands.empty());
-  EXPECT_EQ(partition.unrecorded("run-1"), std::vector<std::uint32_t>{0});
+  EXPECT_EQ(partition.unrecorded_tasks("run-1"), std::vector<std::uint32_t>{0});
   partition.mark_recorded("run-1", {0});
   auto reply = partition.on_heartbeat(done(), 300);
   ASSERT_EQ(reply.commands.size(), 1u);
@@ -196,7 +196,7 @@
   partition.on_heartbeat(heartbeat("m-1"), 200);  // the launch was dropped
   EXPECT_TRUE(partition.begin_transfer("m-1"));
   EXPECT_TRUE(partition.place_tasks("m-1", 200).empty());
-  partition.end_transfer("m-1");
+  partition.cancel_transfer("m-1");
   EXPECT_EQ(partition.place_tasks("m-1", 250).size(), 1u);
 }
 
--- a/tests/scheduler/scale_test.cc
+++ b/tests/scheduler/scale_test.cc
@@ -84,7 +84,7 @@
         now);
     partition.close_job(spec.id);
   }
-  EXPECT_LE(partition.images_known(), constants::kImagesKnown + 1);
+  EXPECT_LE(partition.numbered_image_count(), constants::kImagesKnown + 1);
 }
 
 }  // namespace
