--- a/src/scheduler/capacity_totals.cc
+++ b/src/scheduler/capacity_totals.cc
@@ -46,14 +46,14 @@
 
 double CapacityTotals::usable_free_cpus(const ScheduledMachine& machine) const {
   const double cpus =
-      std::max(0.0, machine.type->cpus - machine.used.cpus - machine.service_headroom());
+      std::max(0.0, machine.type->cpus - machine.used.cpus - machine.service_headroom_cpus());
   if (smallest_array_task_ <= 0) return cpus;
   return std::floor(cpus / smallest_array_task_ + kRoundingTolerance) * smallest_array_task_;
 }
 
 double CapacityTotals::free_for(const ScheduledJob& job) const {
   double room = 0;
-  for (std::size_t level = 0; level < kFillLevels; ++level)
+  for (std::size_t level = 0; level < kFillLevelCount; ++level)
     room += free_on_demand_[level] + (job.spec.spot ? free_spot_[level] : 0);
   return room;
 }
@@ -62,7 +62,7 @@
                                                const ScheduledJob& job) const {
   const auto own_level = static_cast<std::size_t>(machine.fill_level());
   double room = 0;
-  for (std::size_t level = 0; level < kFillLevels; ++level) {
+  for (std::size_t level = 0; level < kFillLevelCount; ++level) {
     const bool fuller = level > own_level;
     if (fuller) room += free_on_demand_[level];
     // Where cost saving pays, spot machines are filled before dearer ones.
--- a/src/scheduler/capacity_totals.h
+++ b/src/scheduler/capacity_totals.h
@@ -52,7 +52,7 @@
   Ms idle_keep_ms() const;
 
  private:
-  using ByFillLevel = std::array<double, kFillLevels>;
+  using ByFillLevel = std::array<double, kFillLevelCount>;
   ByFillLevel& free_of_kind(bool spot) { return spot ? free_spot_ : free_on_demand_; }
 
   const MachinePool& machines_;
--- a/src/scheduler/job_queue.cc
+++ b/src/scheduler/job_queue.cc
@@ -35,13 +35,13 @@
 }
 
 void JobQueue::open(std::unique_ptr<ScheduledJob> job, Ms now) {
-  update_expectations(*job);
+  update_objective_stats(*job);
   order_.push_back(job.get());
   sort(now);
   jobs_[job->spec.id] = std::move(job);
 }
 
-void JobQueue::update_expectations(const ScheduledJob& job) {
+void JobQueue::update_objective_stats(const ScheduledJob& job) {
   if (job.is_service()) return;
   const JobSpec& spec = job.spec;
   if (spec.deadline_s) {
--- a/src/scheduler/job_queue.h
+++ b/src/scheduler/job_queue.h
@@ -62,7 +62,7 @@
   std::uint64_t steps() const { return steps_; }
 
  private:
-  void update_expectations(const ScheduledJob& job);
+  void update_objective_stats(const ScheduledJob& job);
 
   const SchedulingPolicy& policy_;
   std::unordered_map<std::string, std::unique_ptr<ScheduledJob>> jobs_;
--- a/src/scheduler/partition_scheduler.cc
+++ b/src/scheduler/partition_scheduler.cc
@@ -290,11 +290,11 @@
 std::vector<std::string> PartitionScheduler::tick(Ms now) {
   components_->now = now;
   std::vector<std::string> expired;
-  const Ms lease_limit =
+  const Ms lease_limit_ms =
       static_cast<Ms>(static_cast<double>(components_->policy.lease_ms) * (1 + constants::kDrift)) +
       constants::kProofMarginMs;
   for (const auto& [id, machine] : components_->machines) {
-    if (machine->lease_expired || now - machine->last_ok_reply_at <= lease_limit) continue;
+    if (machine->lease_expired || now - machine->last_ok_reply_at <= lease_limit_ms) continue;
     // Invariant 5: no reply can have renewed the lease in this time, so the worker's lease has
     // expired and it has killed all its tasks.
     components_->bindings.release_all(*machine, now);
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -71,7 +71,7 @@
   if (job.queued == 0 || !steps_.rules.fits(machine, job, unreconciled) ||
       steps_.delays.waits_for_fuller(machine, job, now))
     return false;
-  if (!job.is_service() && machine.used.cpus + job.spec.cpus + machine.service_headroom() >
+  if (!job.is_service() && machine.used.cpus + job.spec.cpus + machine.service_headroom_cpus() >
                                machine.type->cpus + kRoundingTolerance)
     return false;
   return pass == Pass::borrowing || job.starved ||
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -27,7 +27,7 @@
 Resources free_for_launches(const ScheduledMachine& machine) {
   Resources free = Resources::of(*machine.type);
   for (const auto& [key, task] : machine.tasks)
-    if (task.stop_grace_s != 0.0) free -= task.size;
+    if (task.stop_grace_s != 0.0) free -= task.resources;
   return free;
 }
 
@@ -98,10 +98,10 @@
     if (covers(free, job.spec)) break;
     const BoundTask& task = candidate->second;
     if (ground == Ground::fair_share) {
-      if (!inputs_.teams.keeps_fair_share(*task.team, given, task.size.cpus)) continue;
-      given += task.size.cpus;
+      if (!inputs_.teams.keeps_fair_share(*task.team, given, task.resources.cpus)) continue;
+      given += task.resources.cpus;
     }
-    free += task.size;
+    free += task.resources;
     victims.push_back(candidate);
   }
   if (!covers(free, job.spec)) return std::nullopt;
@@ -132,7 +132,7 @@
   if (ground == Ground::priority) return task.job->priority < job.priority;
   // A team keeps its own fair share.
   return task.team != job.team && !task.service && task.job->priority <= job.priority &&
-         inputs_.teams.keeps_fair_share(*task.team, 0, task.size.cpus);
+         inputs_.teams.keeps_fair_share(*task.team, 0, task.resources.cpus);
 }
 
 }  // namespace eiderreel
--- a/src/scheduler/scheduled_machine.cc
+++ b/src/scheduler/scheduled_machine.cc
@@ -21,7 +21,7 @@
 
 // Without this headroom, array tasks would use the room beside services, and the next service would
 // have to preempt them.
-double ScheduledMachine::service_headroom() const {
+double ScheduledMachine::service_headroom_cpus() const {
   if (service_cpus <= 0 || !type) return 0;
   const double max_reserved_cpus = type->cpus * constants::kReserveShare;
   return largest_service_cpus <= max_reserved_cpus
--- a/src/scheduler/scheduled_machine.h
+++ b/src/scheduler/scheduled_machine.h
@@ -30,7 +30,7 @@
   ScheduledJob* job = nullptr;  // null for an orphan, which is to be killed
   std::uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::pulling;
-  Resources size;  // what the task uses; an orphan's counts until it is proven gone
+  Resources resources;  // what the task uses; an orphan's counts until it is proven gone
   std::optional<std::size_t> team;  // index in `TeamUsage`; `nullopt` if its job is unknown
   bool service = false;
   bool reported = false;  // whether a heartbeat has reported it
@@ -43,7 +43,7 @@
 /// How full a machine is. Tasks are placed on machines of a higher level first. `services`: the
 /// machine runs services, however full it is.
 enum class FillLevel : std::uint8_t { idle, below_half, at_least_half, services };
-constexpr std::size_t kFillLevels = 4;
+constexpr std::size_t kFillLevelCount = 4;
 
 /// A machine of the partition.
 struct ScheduledMachine {
@@ -55,8 +55,9 @@
   bool spot = false;
   const MachineType* type = nullptr;  // null if it is not in the catalog
 
-  bool reconciled = false;  // all its tasks are known: it sent the current token, or it was
-                            // assigned after the claim
+  // Whether all its tasks are known: it has sent a heartbeat with this leader's fencing token, or
+  // was assigned after the claim.
+  bool reconciled = false;
   bool heartbeat_received = false;
   bool transferring = false;   // being transferred out of the partition
   bool lease_expired = false;  // only a heartbeat with a new incarnation is accepted
@@ -75,8 +76,8 @@
   Resources used;                   // sum over all tasks, orphans included
   double service_cpus = 0;          // the part of the used CPUs that services use
   double largest_service_cpus = 0;  // CPUs of the largest service task bound so far
-  int unknown_tasks = 0;            // number of tasks whose job is not open in this partition
-  std::set<std::size_t> images;     // images that are cached, or being fetched for a task
+  int unknown_tasks = 0;         // number of tasks whose job was not open when they were reported
+  std::set<std::size_t> images;  // images that are cached, or being fetched for a task
 
   int consecutive_failures = 0;  // task failures since the last success
   Ms quarantine_until = 0;
@@ -94,7 +95,7 @@
   /// The machine's fill level.
   FillLevel fill_level() const;
   /// CPUs that are kept free for further services.
-  double service_headroom() const;
+  double service_headroom_cpus() const;
   /// When all tasks of the machine will have ended, by the submitters' estimates; 0 if it has none.
   Ms empty_at() const;
   /// When all its array tasks will have ended, by the submitters' estimates; services don't count,
--- a/src/scheduler/task_bindings.cc
+++ b/src/scheduler/task_bindings.cc
@@ -19,20 +19,20 @@
   task.job = &job;
   task.attempt = attempt;
   task.phase = phase;
-  task.size = Resources::of(job.spec);
+  task.resources = Resources::of(job.spec);
   task.team = job.team;
   task.service = job.is_service();
   task.estimated_end = now + static_cast<Ms>(job.spec.estimate_s * 1000);
-  totals_.add_free(machine, -task.size.cpus);
-  machine.used += task.size;
+  totals_.add_free(machine, -task.resources.cpus);
+  machine.used += task.resources;
   if (task.service) {
-    machine.service_cpus += task.size.cpus;
-    machine.largest_service_cpus = std::max(machine.largest_service_cpus, task.size.cpus);
+    machine.service_cpus += task.resources.cpus;
+    machine.largest_service_cpus = std::max(machine.largest_service_cpus, task.resources.cpus);
   }
   // The machine has the image cached or fetches it from now on, so it counts as cached when further
   // tasks with this image are placed.
   machine.images.insert(job.image);
-  teams_.take(job.team, task.size);
+  teams_.take(job.team, task.resources);
   if (job.tasks[index] == TaskState::queued) {
     job.tasks[index] = TaskState::bound;
     --job.queued;
@@ -54,13 +54,13 @@
   task.estimated_end = now;
   task.stop_grace_s = 0;
   if (job) {
-    task.size = Resources::of(job->spec);
+    task.resources = Resources::of(job->spec);
     task.team = job->team;
-    teams_.take(job->team, task.size);
+    teams_.take(job->team, task.resources);
   } else {
     machines_.add_unknown_tasks(machine, 1);
   }
-  machine.used += task.size;
+  machine.used += task.resources;
   return task;
 }
 
@@ -69,15 +69,15 @@
   if (found == machine.tasks.end()) return;
   const BoundTask task = found->second;
   machine.tasks.erase(found);
-  machine.used -= task.size;
-  if (task.service) machine.service_cpus -= task.size.cpus;
+  machine.used -= task.resources;
+  if (task.service) machine.service_cpus -= task.resources.cpus;
   if (!task.team) machines_.add_unknown_tasks(machine, -1);
   if (machine.tasks.empty()) {  // resets accumulated rounding errors
     machine.used = {};
     machine.service_cpus = 0;
   }
-  totals_.add_free(machine, task.size.cpus);
-  if (task.team) teams_.give_back(*task.team, task.size);
+  totals_.add_free(machine, task.resources.cpus);
+  if (task.team) teams_.give_back(*task.team, task.resources);
   if (!task.job) return;
   ScheduledJob& job = *task.job;
   --job.bound;
--- a/src/scheduler/task_commands.cc
+++ b/src/scheduler/task_commands.cc
@@ -39,8 +39,8 @@
   // Invariant 2: the attempt number is the fencing token, shifted left, plus a counter.
   const std::uint64_t attempt =
       (machines_.fencing_token_of(machine) << constants::kAttemptBits) + ++attempt_counter_;
-  const Ms image_fetch_ms =
-      machine.fetch_ms(job);  // read before `bind`, which counts the image as cached
+  // Computed before `bind`, which counts the image as cached.
+  const Ms image_fetch_ms = machine.fetch_ms(job);
   BoundTask& task = bindings_.bind(machine, job, index, attempt, TaskPhase::pulling, now);
   if (job.starved) {
     task.protected_until = now + image_fetch_ms + constants::kBegunMs;
--- a/src/scheduler/task_commands.h
+++ b/src/scheduler/task_commands.h
@@ -13,11 +13,11 @@
 
 namespace eiderreel {
 
-/// Starts an attempt of a task.
+/// A command that starts an attempt of a task.
 Command launch_command(const TaskKey& key, std::uint64_t attempt);
-/// Stops an attempt; it has `grace_s` seconds to save a checkpoint.
+/// A command that stops an attempt, which has `grace_s` seconds to save a checkpoint.
 Command kill_command(const TaskKey& key, std::uint64_t attempt, double grace_s);
-/// Makes the worker drop an exited attempt from its heartbeats.
+/// A command that makes the worker drop an exited attempt from its heartbeats.
 Command clear_command(const TaskKey& key, std::uint64_t attempt);
 
 /// Adds a kill of the task to `commands`, with time to save if it writes checkpoints. Returns
