--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -17,8 +17,9 @@
 namespace {
 
 bool covers(const Resources& free, const JobSpec& spec) {
-  return free.cpus + kRounding >= spec.cpus && free.gpus + kRounding >= spec.gpus &&
-         free.memory_gb + kRounding >= spec.memory_gb;
+  return free.cpus + kRoundingTolerance >= spec.cpus &&
+         free.gpus + kRoundingTolerance >= spec.gpus &&
+         free.memory_gb + kRoundingTolerance >= spec.memory_gb;
 }
 
 // The room that is free before the launches of the same answer: what is told to stop without
@@ -26,7 +27,7 @@
 Resources free_for_launches(const ScheduledMachine& machine) {
   Resources free = Resources::of(*machine.type);
   for (const auto& [key, task] : machine.tasks)
-    if (task.stop_grace_s != 0.0) free -= task.size;
+    if (task.stop_grace_s != 0.0) free -= task.resources;
   return free;
 }
 
@@ -42,7 +43,7 @@
       std::max(constants::kReclaimSoonestMs, inputs_.policy.fair_share_start_ms -
                                                  constants::kReclaimMarginMs -
                                                  inputs_.policy.heartbeat_round_ms());
-  for (ScheduledJob* job : jobs_.waiting()) {
+  for (ScheduledJob* job : jobs_.waiting_jobs()) {
     ++steps_;
     const Ms waited = now - job->waiting_since;
     const bool by_priority =
@@ -97,10 +98,10 @@
     if (covers(free, job.spec)) break;
     const BoundTask& task = candidate->second;
     if (ground == Ground::fair_share) {
-      if (!inputs_.teams.keeps_fair_share(*task.team, given, task.size.cpus)) continue;
-      given += task.size.cpus;
+      if (!inputs_.teams.keeps_fair_share(*task.team, given, task.resources.cpus)) continue;
+      given += task.resources.cpus;
     }
-    free += task.size;
+    free += task.resources;
     victims.push_back(candidate);
   }
   if (!covers(free, job.spec)) return std::nullopt;
@@ -125,12 +126,13 @@
 
 bool Preemption::may_preempt(const BoundTask& task, const ScheduledJob& job, Ground ground,
                              Ms now) const {
-  if (!task.job || task.stop_grace_s || task.phase == TaskPhase::flushing || now < task.kept_until)
+  if (!task.job || task.stop_grace_s || task.phase == TaskPhase::flushing ||
+      now < task.protected_until)
     return false;
   if (ground == Ground::priority) return task.job->priority < job.priority;
   // A team keeps its own fair share.
   return task.team != job.team && !task.service && task.job->priority <= job.priority &&
-         inputs_.teams.keeps_fair_share(*task.team, 0, task.size.cpus);
+         inputs_.teams.keeps_fair_share(*task.team, 0, task.resources.cpus);
 }
 
 }  // namespace eiderreel
