--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -109,7 +109,7 @@
   state_store_.catch_up([this, id, asked_at = runtime_.now(), reply](const auto& caught_up) {
     const ClusterView& view = state_store_.view();
     const bool ended = view.finals.contains(id);
-    if (!ended && (!caught_up || !view.jobs.contains(id) || view.dependencies.cancelled(id) ||
+    if (!ended && (!caught_up || !view.jobs.contains(id) || view.dependencies.is_cancelled(id) ||
                    state_store_.replica().is_unresolved(id)))
       return reply_error(reply, UserError::leader_unreachable);
     reply_open(id, false, queued_reply(id, asked_at), reply);
--- a/src/codec/cloud_json.cc
+++ b/src/codec/cloud_json.cc
@@ -21,8 +21,8 @@
   reader.optional(wire::cloud::kGpus, type.gpus);
   reader.optional(wire::cloud::kCacheGb, type.cache_gb);
   reader.optional(wire::cloud::kFetchGbPerS, type.fetch_gb_per_s);
-  reader.optional(wire::cloud::kPrice, type.price);
-  reader.optional(wire::cloud::kSpotPrice, type.spot_price);
+  reader.optional(wire::cloud::kPrice, type.price_per_hour);
+  reader.optional(wire::cloud::kSpotPrice, type.spot_price_per_hour);
   reader.optional(wire::cloud::kBootS, type.boot_s);
   if (const Value* zones = field(object, wire::cloud::kZones)) type.zones = only_strings(*zones);
   return reader.result(std::move(type));
--- a/src/controller/status_report.cc
+++ b/src/controller/status_report.cc
@@ -81,7 +81,7 @@
 void put_waiting_jobs(Writer& writer, const DependencyGraph& dependencies) {
   writer.Key("waiting");
   writer.StartArray();
-  for (const auto& id : dependencies.waiting(k::kStatusWaiting)) {
+  for (const auto& id : dependencies.waiting_jobs(k::kStatusWaiting)) {
     writer.StartObject();
     put(writer, "job", id);
     put_count(writer, "prerequisites", dependencies.prerequisite_count(id));
--- a/src/fleet/autoscaler.cc
+++ b/src/fleet/autoscaler.cc
@@ -11,8 +11,8 @@
 
 namespace k = constants;
 
-// Sums, but for `slack_s` (the longest) and `wait_s` (the shortest that is stated). `idle_cpus` is
-// of all kinds of machines.
+// Sums, but for `slack_s` (the longest) and `start_objective_s` (the shortest that is stated).
+// `idle_cpus` is of all kinds of machines.
 PartitionLoad total_of(const std::map<int, PartitionLoad>& loads) {
   PartitionLoad total;
   for (const auto& [partition, load] : loads) {
@@ -25,8 +25,10 @@
     total.used_cpus += load.used_cpus;
     total.used_service_cpus += load.used_service_cpus;
     total.slack_s = std::max(total.slack_s, load.slack_s);
-    if (load.wait_s > 0)
-      total.wait_s = total.wait_s > 0 ? std::min(total.wait_s, load.wait_s) : load.wait_s;
+    if (load.start_objective_s > 0)
+      total.start_objective_s = total.start_objective_s > 0
+                                    ? std::min(total.start_objective_s, load.start_objective_s)
+                                    : load.start_objective_s;
     total.idle_cpus += load.idle_cpus + load.idle_spot_cpus;
   }
   return total;
@@ -114,8 +116,9 @@
   const auto machines = static_cast<double>(inventory_.size());
   const double patience = k::kPatience * machines / (machines + k::kEvenMachines);
   // Where arrays should start within a stated time, machines must be up well before it.
-  const double queue_s =
-      total.wait_s > 0 ? std::min(total.slack_s, total.wait_s * k::kWaitShare) : total.slack_s;
+  const double queue_s = total.start_objective_s > 0
+                             ? std::min(total.slack_s, total.start_objective_s * k::kWaitShare)
+                             : total.slack_s;
   const double queue_cpus = total.waiting_core_s / (queue_s * patience) - total.total_cpus;
   return std::min(total.waiting_cpus, std::max(queue_cpus, total.waiting_service_cpus));
 }
--- a/src/fleet/machine_catalog.h
+++ b/src/fleet/machine_catalog.h
@@ -26,7 +26,7 @@
   /// The machine types as last read.
   const std::vector<MachineType>& types() const { return types_; }
   /// The type of that name; null: the catalog has none. Valid until the catalog is read again.
-  const MachineType* find(const std::string& name) const { return find_type(types_, name); }
+  const MachineType* find(const std::string& name) const { return find_machine_type(types_, name); }
   /// CPUs of the smallest type. The catalog must not be empty.
   double smallest_cpus() const;
   /// CPUs of the largest type.
--- a/src/fleet/machine_provisioner.cc
+++ b/src/fleet/machine_provisioner.cc
@@ -74,8 +74,9 @@
   for (const auto& type : catalog_.types()) {
     for (const auto& zone : type.zones) {
       for (const bool spot : {true, false}) {
-        Offer offer{
-            &type, {type.name, zone, spot}, (spot ? type.spot_price : type.price) / type.cpus};
+        Offer offer{&type,
+                    {type.name, zone, spot},
+                    (spot ? type.spot_price_per_hour : type.price_per_hour) / type.cpus};
         if (wanted(offer)) found.push_back(std::move(offer));
       }
     }
--- a/src/fleet/rebalancer.cc
+++ b/src/fleet/rebalancer.cc
@@ -77,7 +77,7 @@
 void Rebalancer::drain_one_machine(const Loads& loads) {
   const double smallest = catalog_.smallest_cpus();
   for (const auto& [to, load] : loads) {
-    if (load.waited_s < k::kDrainAfterS) continue;
+    if (load.longest_wait_s < k::kDrainAfterS) continue;
     for (const auto& [from, giver] : loads)
       if (from != to && giver.waiting_cpus <= 0 && giver.total_cpus - giver.used_cpus >= smallest)
         return advisor_.cordon({from, smallest, true});
--- a/src/leadership/partition_activation.cc
+++ b/src/leadership/partition_activation.cc
@@ -79,7 +79,8 @@
     if (entry.record.partition == partition)
       led.scheduler->add_machine(machine, entry.revision, entry.revision > fencing_token, now);
   for (const auto& [job, entry] : view.jobs) {
-    if (settings_.partition_of_team(entry.spec.team) != partition || view.dependencies.waits(job))
+    if (settings_.partition_of_team(entry.spec.team) != partition ||
+        view.dependencies.is_blocked(job))
       continue;
     const auto recorded = done.find(job);
     jobs_.open(led, job, recorded == done.end() ? std::vector<std::uint32_t>{} : recorded->second);
--- a/src/leadership/partition_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -33,7 +33,7 @@
   const ClusterView& view = state_store_.view();
   LedPartition* led = active_partition_of(view.jobs.at(job).spec);
   if (!led) return;
-  if (view.dependencies.waits(job)) return log_waiting(job);
+  if (view.dependencies.is_blocked(job)) return log_waiting(job);
   open(*led, job, {});
   commands_.answer_deferred(*led);
 }
@@ -43,7 +43,7 @@
   const auto first = dependencies.prerequisites_of(job, 1);
   spdlog::info("job waiting job={} prerequisites={} first={} cancelled={}", job,
                dependencies.prerequisite_count(job), first.empty() ? "-" : first.front(),
-               dependencies.cancelled(job));
+               dependencies.is_cancelled(job));
 }
 
 // Invariant 11: the last of its prerequisites is durably done. Until now the partition knew nothing
@@ -112,7 +112,8 @@
   if (!partition) return decline(done, JobQueryError::unknown_job);
   LedPartition* led = led_.find_acting(*partition);
   if (!led) return decline(done, JobQueryError::not_leader);
-  if (state_store_.view().dependencies.waits(query.job)) return query_waiting(*led, query, done);
+  if (state_store_.view().dependencies.is_blocked(query.job))
+    return query_waiting(*led, query, done);
   const auto status = led->scheduler->status(query.job);
   if (!status) return decline(done, JobQueryError::unknown_job);
   if (!query.cancel) {
@@ -135,7 +136,7 @@
 // knew.
 void PartitionJobs::query_waiting(LedPartition& led, const peer_rpc::JobQuery& query,
                                   const JobQueryDone& done) {
-  if (state_store_.view().dependencies.cancelled(query.job))
+  if (state_store_.view().dependencies.is_cancelled(query.job))
     return done(HttpReply{http_status::kOk,
                           query.cancel
                               ? codec::job_answer(query.job, JobPhase::cancelled)
--- a/src/model/heartbeat.h
+++ b/src/model/heartbeat.h
@@ -1,4 +1,4 @@
-// Heartbeats of workers, and the commands that they are sent.
+// Heartbeats sent by workers, and the commands sent to workers.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -7,16 +7,16 @@
 
 namespace eiderreel {
 
-/// The state of a task on its machine.
+/// The state of a task on its machine, as reported by the worker.
 enum class TaskPhase : std::uint8_t { pulling, running, flushing, exited };
 
-/// Why a task has exited; the last three are refusals to start it.
+/// Why a task has exited. The last three values mean that the worker refused to start it.
 enum class ExitReason : std::uint8_t { none, done, stopped, error, no_room, busy, no_such };
 
-/// What a worker is told to do with a task.
+/// What a command makes a worker do with a task.
 enum class CommandType : std::uint8_t { launch, kill, clear };
 
-/// One task in a heartbeat.
+/// The status of one task in a heartbeat.
 struct TaskStatus {
   std::string job;
   std::uint32_t index = 0;
@@ -25,18 +25,18 @@
   ExitReason exit_reason = ExitReason::none;
 };
 
-/// A worker's heartbeat with the status of all tasks on its machine. The newest one is that with
-/// the largest (incarnation, sequence).
+/// A worker's heartbeat with the status of all tasks on its machine. Heartbeats of a worker are
+/// ordered by (incarnation, sequence); the largest pair is the newest heartbeat.
 struct Heartbeat {
   std::string machine;
   std::string addr;  // IP:PORT of the worker
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t incarnation = 0;    // counts the leases of the worker that have expired
-  std::uint64_t sequence = 0;       // of the message within the incarnation
-  std::uint64_t fencing_token = 0;  // the highest one that the worker has seen
-  std::optional<double> notice_s;   // until the cloud takes the machine away
+  std::uint64_t incarnation = 0;               // number of the worker's leases that have expired
+  std::uint64_t sequence = 0;                  // number of the heartbeat within the incarnation
+  std::uint64_t fencing_token = 0;             // the highest token that the worker has seen
+  std::optional<double> termination_notice_s;  // until the cloud reclaims the machine, if announced
   std::vector<TaskStatus> tasks;
 };
 
@@ -46,7 +46,7 @@
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
-  double grace_s = 0;  // of a kill: time to save
+  double grace_s = 0;  // kill only: time that the task gets to save its progress
 };
 
 }  // namespace eiderreel
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -1,4 +1,4 @@
-// Machine types of the cloud, and which jobs a machine may host.
+// Machine types of the cloud, and the rule which jobs a machine may host.
 #pragma once
 #include <algorithm>
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace eiderreel {
 
-/// A type of machine in the cloud's catalog. Prices are by the hour.
+/// A machine type in the cloud's catalog.
 struct MachineType {
   std::string name;
   double cpus = 0;
@@ -16,24 +16,25 @@
   double memory_gb = 0;
   double cache_gb = 0;
   double fetch_gb_per_s = 0;
-  double price = 0;
-  double spot_price = 0;
+  double price_per_hour = 0;
+  double spot_price_per_hour = 0;
   double boot_s = 0;
   std::vector<std::string> zones;
 };
 
-/// Stands for the partition of a machine that is released, to be returned to the cloud.
+/// Partition number of a released machine, which is to be returned to the cloud.
 inline constexpr int kReleasedPartition = -1;
 
-/// The type of that name; null: the catalog has none.
-inline const MachineType* find_type(const std::vector<MachineType>& types,
-                                    const std::string& name) {
+/// The type with this name; null if the catalog has no such type.
+inline const MachineType* find_machine_type(const std::vector<MachineType>& types,
+                                            const std::string& name) {
   const auto found = std::find_if(types.begin(), types.end(),
                                   [&](const MachineType& type) { return type.name == name; });
   return found == types.end() ? nullptr : &*found;
 }
 
-/// Whether a machine of this type, zone and kind may ever hold a task of the job.
+/// Whether an empty machine of this type, in this zone and on-demand or spot, could run a task of
+/// the job.
 inline bool may_host(const JobSpec& job, const MachineType& type, const std::string& zone,
                      bool spot) {
   if (spot && !job.spot) return false;
--- a/src/model/team.h
+++ b/src/model/team.h
@@ -1,11 +1,11 @@
-// Teams, and the service-level objectives of classes of jobs.
+// Teams, and the service-level objectives of job classes.
 #pragma once
 #include <string>
 
 namespace eiderreel {
 
-/// A team's fair share, which it is guaranteed and beyond which it borrows, and its quota, which
-/// its tasks may never exceed (infinite: none).
+/// A team's fair share and quota. The fair share is guaranteed; use beyond it is borrowed and may
+/// be reclaimed. The quota is a hard limit for the team's tasks (infinite: no limit).
 struct Team {
   std::string name;
   double fair_share_cpus = 0;
@@ -14,11 +14,11 @@
   double quota_gpus = 0;
 };
 
-/// When jobs of a class should be complete: within so many seconds, or within so many times their
-/// deadline. The one that is 0 does not apply.
+/// When jobs of a class should be complete: within a number of seconds after they are ready to
+/// start, or within a multiple of their deadline. The member that is 0 does not apply.
 struct CompletionObjective {
   double within_s = 0;
-  double times = 0;
+  double deadline_multiple = 0;
 };
 
 }  // namespace eiderreel
--- a/src/peer_rpc/decode.cc
+++ b/src/peer_rpc/decode.cc
@@ -35,14 +35,14 @@
   load.total_cpus = in.getTotalCpus();
   load.waiting_core_s = in.getWaitingCoreS();
   load.slack_s = in.getSlackS();
-  load.wait_s = in.getWaitS();
+  load.start_objective_s = in.getWaitS();
   load.idle_cpus = in.getIdleCpus();
   load.idle_spot_cpus = in.getIdleSpotCpus();
   load.releasable_cpus = in.getReleasableCpus();
   load.releasable_spot_cpus = in.getReleasableSpotCpus();
   load.idle_machines = in.getIdleMachines();
   load.spot_cpus = in.getSpotCpus();
-  load.waited_s = in.getWaitedS();
+  load.longest_wait_s = in.getWaitedS();
   for (auto job : in.getUnschedulable())
     load.unschedulable.emplace_back(job.getJob().cStr(), job.getCpus());
   return load;
--- a/src/peer_rpc/encode.cc
+++ b/src/peer_rpc/encode.cc
@@ -57,21 +57,21 @@
   out.setTotalCpus(load.total_cpus);
   out.setWaitingCoreS(load.waiting_core_s);
   out.setSlackS(load.slack_s);
-  out.setWaitS(load.wait_s);
+  out.setWaitS(load.start_objective_s);
   out.setIdleCpus(load.idle_cpus);
   out.setIdleSpotCpus(load.idle_spot_cpus);
   out.setReleasableCpus(load.releasable_cpus);
   out.setReleasableSpotCpus(load.releasable_spot_cpus);
   out.setIdleMachines(load.idle_machines);
   out.setSpotCpus(load.spot_cpus);
-  out.setWaitedS(load.waited_s);
+  out.setWaitedS(load.longest_wait_s);
   write_unschedulable(out, load);
 }
 
 void write(wire::Envelope::Builder& envelope, const PeerStatus& status) {
   auto out = envelope.initPeerStatus();
-  out.setRequests(status.use.requests);
-  out.setChanges(status.use.changes);
+  out.setRequests(status.use.requests_per_s);
+  out.setChanges(status.use.changes_per_s);
   out.setHearsWorkers(status.hears_workers);
   out.setFeatures(status.features);
   if (status.conversion) write_conversion(out.initConversion(), *status.conversion);
--- a/src/scheduler/consolidation.h
+++ b/src/scheduler/consolidation.h
@@ -1,4 +1,4 @@
-// Lets machines run empty while there is more room than the queue asks for.
+// Lets machines run empty while the partition has more free capacity than its queue needs.
 #pragma once
 #include <vector>
 
@@ -10,20 +10,22 @@
 
 namespace eiderreel {
 
-/// Chooses the machines that are consolidated: they take no work that others can take, so that they
-/// run empty and the cluster leader may move or return them.
+/// Chooses the machines that are consolidated. Such a machine takes no tasks that other machines
+/// can take, so that it becomes idle, and the cluster leader may move it to another partition or
+/// return it to the cloud.
 class Consolidation {
  public:
   Consolidation(const MachinePool& machines, const JobQueue& jobs, CapacityTotals& totals)
       : machines_(machines), jobs_(jobs), totals_(totals) {}
 
-  /// Consolidates more machines, or takes some into use again. Follows an update of the totals.
+  /// Consolidates more machines, or puts some back into use. Must be called after
+  /// `CapacityTotals::update`.
   void update(Ms now);
 
  private:
-  void start(double surplus, Ms now);
-  void stop(double wanted, Ms now);
-  std::vector<ScheduledMachine*> by_time_to_empty(Ms now, bool consolidating) const;
+  void consolidate_machines(double surplus_cpus, Ms now);
+  void resume_machines(double needed_cpus, Ms now);
+  std::vector<ScheduledMachine*> sorted_by_time_to_empty(Ms now, bool consolidating) const;
 
   const MachinePool& machines_;
   const JobQueue& jobs_;
--- a/src/scheduler/delay_scheduling.cc
+++ b/src/scheduler/delay_scheduling.cc
@@ -1,4 +1,4 @@
-// How long jobs wait for which machines.
+// Decides how long jobs wait for preferred machines.
 #include "scheduler/delay_scheduling.h"
 
 #include <algorithm>
@@ -10,30 +10,33 @@
 
 namespace eiderreel {
 
-// A task waits for a machine that has its image since the fetch takes far longer. A service waits
-// for a machine that runs more services so that others can run empty.
-bool DelayScheduling::waits_for_image(const ScheduledMachine& machine, ScheduledJob& job, Ms now) {
-  const Ms waited = now - job.waiting_since;
+// A task waits for a machine that has its image, since fetching the image takes far longer. A
+// service waits for a machine that runs more services, so that other machines can run empty.
+bool DelayScheduling::waits_for_preferred_machine(const ScheduledMachine& machine,
+                                                  ScheduledJob& job, Ms now) {
+  const Ms waited_ms = now - job.waiting_since;
   if (!job.is_service())
-    // Until all machines have sent a heartbeat, but no longer than the fetch would take.
-    return waited < std::min(machine.fetch_ms(job), policy_.heartbeat_round_ms()) &&
-           totals_.free_with_image(job);
+    // An array waits until all machines have sent a heartbeat, but no longer than the fetch takes.
+    return waited_ms < std::min(machine.fetch_ms(job), policy_.heartbeat_round_ms()) &&
+           totals_.has_room_with_image(job);
   const bool has_image = machine.images.contains(job.image);
-  if (waited >= (has_image ? constants::kServicePackMs : constants::kImageWaitMs)) return false;
+  if (waited_ms >= (has_image ? constants::kServicePackMs : constants::kImageWaitMs)) return false;
   const ImageSurvey& survey = survey_image(job, now);
   if (!has_image) return survey.found;
-  // Joining pays only where the heartbeat of such a machine is likely within the wait.
+  // Waiting pays only if enough machines run services that one of them is likely to send its
+  // heartbeat during the wait.
   return survey.service_machines >= constants::kServiceMachines &&
          machine.service_cpus < survey.most_service_cpus * constants::kServicesAlike;
 }
 
-// Looks at all machines, so at most once a tick for each service that waits.
+// Examines all machines of the partition, so the result is reused: each waiting service is surveyed
+// at most once per tick.
 const ImageSurvey& DelayScheduling::survey_image(ScheduledJob& job, Ms now) {
   if (job.image_survey && now - job.image_survey->at < constants::kTickMs) return *job.image_survey;
   ImageSurvey& survey = job.image_survey.emplace();
   survey.at = now;
   for (const auto& [id, machine] : machines_) {
-    ++steps_;
+    ++machines_examined_;
     if (!machine->accepts_tasks(now) ||
         machine->service_cpus + job.spec.cpus > machine->type->cpus ||
         !machine->images.contains(job.image) ||
@@ -46,27 +49,28 @@
   return survey;
 }
 
-// The time in which the machines to be filled first have sent a heartbeat.
-Ms DelayScheduling::pack_ms() const {
+// The time that an array waits for fuller machines; at most one round of heartbeats.
+Ms DelayScheduling::packing_wait_ms() const {
   return std::min(constants::kPackWaitMs, policy_.heartbeat_round_ms());
 }
 
-// No longer than all other machines take to send a heartbeat. Services have no such time: they wait
-// for machines that run services already, and no longer.
-bool DelayScheduling::spares_consolidating(const ScheduledMachine& machine, const ScheduledJob& job,
-                                           Ms now) const {
+// An array waits for one more round of heartbeats than for fuller machines, so that all other
+// machines have sent one. Services can't wait that long: they wait only as long as they would to
+// join other services.
+bool DelayScheduling::avoids_consolidating_machine(const ScheduledMachine& machine,
+                                                   const ScheduledJob& job, Ms now) const {
   if (!machine.consolidating) return false;
-  const Ms longest =
-      job.is_service() ? constants::kServicePackMs : pack_ms() + policy_.heartbeat_round_ms();
-  return now - job.waiting_since < longest;
+  const Ms max_wait_ms = job.is_service() ? constants::kServicePackMs
+                                          : packing_wait_ms() + policy_.heartbeat_round_ms();
+  return now - job.waiting_since < max_wait_ms;
 }
 
-// What fits on fuller machines waits for their heartbeats, so that this one runs empty: only an
-// idle machine can be given to a partition in need, or returned.
-bool DelayScheduling::waits_for_fuller(const ScheduledMachine& machine, const ScheduledJob& job,
-                                       Ms now) const {
-  return !job.is_service() && now - job.waiting_since < pack_ms() &&
-         job.queued_cpus() <= totals_.free_on_fuller_machines(machine, job);
+// Tasks that fit on fuller machines wait for the heartbeats of those, so that this machine runs
+// empty: only an idle machine can be moved to a partition in need or returned to the cloud.
+bool DelayScheduling::waits_for_fuller_machine(const ScheduledMachine& machine,
+                                               const ScheduledJob& job, Ms now) const {
+  return !job.is_service() && now - job.waiting_since < packing_wait_ms() &&
+         job.queued_cpus() <= totals_.free_cpus_on_fuller_machines(machine, job);
 }
 
 }  // namespace eiderreel
--- a/src/scheduler/delay_scheduling.h
+++ b/src/scheduler/delay_scheduling.h
@@ -1,4 +1,4 @@
-// Which tasks wait a moment for a better machine than the one that could take them now.
+// Lets jobs wait a short time for a better machine than the one that has room for them now.
 #pragma once
 #include <cstdint>
 
@@ -11,31 +11,35 @@
 
 namespace eiderreel {
 
-/// Delay scheduling: a job passes over a machine for a short time, so that it finds one which has
-/// its image, which is fuller, or which runs other services.
+/// Delay scheduling: for a short time a job declines machines with room, in order to start on one
+/// that has its image, is fuller, or runs other services.
 class DelayScheduling {
  public:
   DelayScheduling(const SchedulingPolicy& policy, const MachinePool& machines,
                   const CapacityTotals& totals)
       : policy_(policy), machines_(machines), totals_(totals) {}
 
-  /// Whether the job waits for a machine that has its image or, as a service, runs more services.
-  bool waits_for_image(const ScheduledMachine& machine, ScheduledJob& job, Ms now);
-  /// Whether the job leaves this machine, which is consolidated, to run empty.
-  bool spares_consolidating(const ScheduledMachine& machine, const ScheduledJob& job, Ms now) const;
-  /// Whether the tasks that wait are left to machines that are fuller than this one.
-  bool waits_for_fuller(const ScheduledMachine& machine, const ScheduledJob& job, Ms now) const;
-  /// Machines looked at since the start.
-  std::uint64_t steps() const { return steps_; }
+  /// Whether the job declines this machine in favour of one that has its image or, if the job is a
+  /// service, of one that runs more services.
+  bool waits_for_preferred_machine(const ScheduledMachine& machine, ScheduledJob& job, Ms now);
+  /// Whether the job declines this machine because the machine is consolidated and should run
+  /// empty.
+  bool avoids_consolidating_machine(const ScheduledMachine& machine, const ScheduledJob& job,
+                                    Ms now) const;
+  /// Whether the job declines this machine because fuller ones have room for all its waiting tasks.
+  bool waits_for_fuller_machine(const ScheduledMachine& machine, const ScheduledJob& job,
+                                Ms now) const;
+  /// Number of machines examined in image surveys since the start.
+  std::uint64_t machines_examined() const { return machines_examined_; }
 
  private:
   const ImageSurvey& survey_image(ScheduledJob& job, Ms now);
-  Ms pack_ms() const;
+  Ms packing_wait_ms() const;
 
   const SchedulingPolicy& policy_;
   const MachinePool& machines_;
   const CapacityTotals& totals_;
-  std::uint64_t steps_ = 0;
+  std::uint64_t machines_examined_ = 0;
 };
 
 }  // namespace eiderreel
--- a/src/scheduler/dependency_graph.cc
+++ b/src/scheduler/dependency_graph.cc
@@ -1,4 +1,5 @@
-// Follows the edges of the graph with explicit stacks, as chains may be thousands of jobs long.
+// Traverses the graph with explicit stacks instead of recursion, as chains may be thousands of jobs
+// long.
 #include "scheduler/dependency_graph.h"
 
 #include <algorithm>
@@ -25,102 +26,104 @@
   return found == nodes_.end() ? nullptr : &found->second;
 }
 
-void DependencyGraph::count_waiting(const Node& node, int by) {
-  if (node.open && !node.cancelled && !node.prerequisites.empty()) waiting_count_ += by;
+void DependencyGraph::adjust_waiting_count(const Node& node, int delta) {
+  if (node.is_open && !node.cancelled && !node.prerequisites.empty()) waiting_count_ += delta;
 }
 
 // ------------------------------------------------------------------------------- events
 
-void DependencyGraph::open(const JobSpec& job, std::uint64_t revision,
-                           const std::vector<std::string>& pending, const std::vector<End>& ended) {
+void DependencyGraph::add_job(const JobSpec& job, std::uint64_t revision,
+                              const std::vector<std::string>& pending,
+                              const std::vector<FinalRecord>& finished) {
   Node& node = nodes_[job.id];
-  if (node.open) return;
+  if (node.is_open) return;
   node.id = job.id;
-  node.open = true;
+  node.is_open = true;
   node.priority = job.priority;
   node.run_ms = static_cast<Ms>(job.estimate_s * 1000) + constants::kStartAllowanceMs;
   if (job.deadline_s) node.deadline = job.accepted_at + static_cast<Ms>(*job.deadline_s * 1000);
   node.readiness = {revision, job.accepted_at};
-  bool is_cancelled = false;
-  for (const End& end : ended) {
-    is_cancelled |= end.phase == JobPhase::cancelled;
-    node.readiness.revision = std::max(node.readiness.revision, end.revision);
-    node.readiness.at = std::max(node.readiness.at, end.at);
+  bool has_cancelled_prerequisite = false;
+  for (const FinalRecord& final_record : finished) {
+    has_cancelled_prerequisite |= final_record.phase == JobPhase::cancelled;
+    node.readiness.revision = std::max(node.readiness.revision, final_record.revision);
+    node.readiness.at = std::max(node.readiness.at, final_record.at);
   }
   for (const std::string& id : pending) {
     Node& prerequisite = nodes_[id];
     prerequisite.id = id;
     node.prerequisites.insert(&prerequisite);
     prerequisite.dependents.insert(&node);
-    is_cancelled |= prerequisite.cancelled;
+    has_cancelled_prerequisite |= prerequisite.cancelled;
   }
-  count_waiting(node, 1);
-  if (is_cancelled) return cancel({&node});
-  raise(node);
+  adjust_waiting_count(node, 1);
+  if (has_cancelled_prerequisite) return cancel_with_dependents({&node});
+  propagate_urgency(node);
 }
 
-// Both ends are final: what follows from them never has to be taken back.
-void DependencyGraph::end(const std::string& id, const End& end) {
+// Both `done` and `cancelled` are final phases, so the effects never have to be reverted.
+void DependencyGraph::record_final(const std::string& id, const FinalRecord& final_record) {
   Node* node = find(id);
   if (!node) return;
   const Nodes dependents = std::exchange(node->dependents, {});
   for (Node* dependent : dependents) {
-    ++steps_;
-    count_waiting(*dependent, -1);
+    ++edges_visited_;
+    adjust_waiting_count(*dependent, -1);
     dependent->prerequisites.erase(node);
     Readiness& readiness = dependent->readiness;
-    readiness.revision = std::max(readiness.revision, end.revision);
-    readiness.at = std::max(readiness.at, end.at);
-    count_waiting(*dependent, 1);
-    if (end.phase == JobPhase::done && dependent->prerequisites.empty() && !dependent->cancelled)
+    readiness.revision = std::max(readiness.revision, final_record.revision);
+    readiness.at = std::max(readiness.at, final_record.at);
+    adjust_waiting_count(*dependent, 1);
+    if (final_record.phase == JobPhase::done && dependent->prerequisites.empty() &&
+        !dependent->cancelled)
       effects_.ready.push_back(dependent->id);
   }
-  if (end.phase == JobPhase::cancelled) cancel(dependents);
-  close(id);
+  if (final_record.phase == JobPhase::cancelled) cancel_with_dependents(dependents);
+  remove_job(id);
 }
 
-void DependencyGraph::close(const std::string& id) {
+void DependencyGraph::remove_job(const std::string& id) {
   Node* node = find(id);
   if (!node) return;
-  if (node->open) detach(*node);
+  if (node->is_open) detach(*node);
   remove_if_unused(node);
 }
 
-// A job leaves the graph as a dependent; those that wait for it stay.
+// Removes the edges from the job to its prerequisites. The edges from its dependents stay.
 void DependencyGraph::detach(Node& node) {
-  count_waiting(node, -1);
+  adjust_waiting_count(node, -1);
   const Nodes prerequisites = std::exchange(node.prerequisites, {});
   for (Node* prerequisite : prerequisites) {
-    ++steps_;
+    ++edges_visited_;
     prerequisite->dependents.erase(&node);
   }
-  node.open = node.cancelled = false;
+  node.is_open = node.cancelled = false;
   cancelled_.erase(node.id);
-  lower(prerequisites);
+  recompute_urgency(prerequisites);
   for (Node* prerequisite : prerequisites) remove_if_unused(prerequisite);
 }
 
 void DependencyGraph::remove_if_unused(Node* node) {
-  if (!node->open && node->dependents.empty()) nodes_.erase(node->id);
+  if (!node->is_open && node->dependents.empty()) nodes_.erase(node->id);
 }
 
-// Invariant 12: a cancelled end cancels all jobs that need it, through any number of steps.
-void DependencyGraph::cancel(const Nodes& first) {
-  std::vector<Node*> left(first.begin(), first.end());
-  Nodes lowered;
-  while (!left.empty()) {
-    Node* node = left.back();
-    left.pop_back();
-    ++steps_;
-    if (node->cancelled || !node->open) continue;
-    count_waiting(*node, -1);
+// Invariant 12: the cancellation of a job cancels all its direct and indirect dependents.
+void DependencyGraph::cancel_with_dependents(const Nodes& roots) {
+  std::vector<Node*> worklist(roots.begin(), roots.end());
+  Nodes affected;
+  while (!worklist.empty()) {
+    Node* node = worklist.back();
+    worklist.pop_back();
+    ++edges_visited_;
+    if (node->cancelled || !node->is_open) continue;
+    adjust_waiting_count(*node, -1);
     node->cancelled = true;
     cancelled_.insert(node->id);
     effects_.cancelled.push_back(node->id);
-    lowered.insert(node->prerequisites.begin(), node->prerequisites.end());
-    left.insert(left.end(), node->dependents.begin(), node->dependents.end());
+    affected.insert(node->prerequisites.begin(), node->prerequisites.end());
+    worklist.insert(worklist.end(), node->dependents.begin(), node->dependents.end());
   }
-  lower(lowered);
+  recompute_urgency(affected);
 }
 
 DependencyGraph::Effects DependencyGraph::take_effects() { return std::exchange(effects_, {}); }
@@ -133,66 +136,68 @@
     urgency.finish_by = other.finish_by;
 }
 
-// What a dependent asks of its prerequisites: to be over early enough for it, and all that needs
-// it.
-DependencyGraph::Urgency DependencyGraph::asked_by(const Node& dependent) {
-  Urgency asked{dependent.priority, dependent.deadline};
-  merge(asked, dependent.inherited);
-  if (asked.finish_by) *asked.finish_by -= dependent.run_ms;
-  return asked;
+// The urgency that a dependent passes on to its prerequisites: they must finish early enough for
+// the dependent and for all jobs that depend on it.
+DependencyGraph::Urgency DependencyGraph::urgency_required_by(const Node& dependent) {
+  Urgency required{dependent.priority, dependent.deadline};
+  merge(required, dependent.inherited);
+  if (required.finish_by) *required.finish_by -= dependent.run_ms;
+  return required;
 }
 
-// A new dependent can only add urgency.
-void DependencyGraph::raise(const Node& dependent) {
-  std::vector<const Node*> left{&dependent};
-  while (!left.empty()) {
-    const Node* node = left.back();
-    left.pop_back();
-    const Urgency asked = asked_by(*node);
+// Merges the urgency of a new dependent into its prerequisites, direct and indirect. A new
+// dependent can only raise urgency, so nothing is recomputed.
+void DependencyGraph::propagate_urgency(const Node& dependent) {
+  std::vector<const Node*> worklist{&dependent};
+  while (!worklist.empty()) {
+    const Node* node = worklist.back();
+    worklist.pop_back();
+    const Urgency required = urgency_required_by(*node);
     for (Node* prerequisite : node->prerequisites) {
-      ++steps_;
+      ++edges_visited_;
       Urgency raised = prerequisite->inherited;
-      merge(raised, asked);
+      merge(raised, required);
       if (raised == prerequisite->inherited) continue;
       prerequisite->inherited = raised;
       effects_.urgency_changed.push_back(prerequisite->id);
-      left.push_back(prerequisite);
+      worklist.push_back(prerequisite);
     }
   }
 }
 
-// Dependents that are over or cancelled ask for nothing any more.
-void DependencyGraph::lower(const Nodes& first) {
-  std::vector<Node*> left(first.begin(), first.end());
-  while (!left.empty()) {
-    Node* node = left.back();
-    left.pop_back();
+// Recomputes inherited urgency after dependents have finished or were cancelled, as these no longer
+// contribute to it.
+void DependencyGraph::recompute_urgency(const Nodes& roots) {
+  std::vector<Node*> worklist(roots.begin(), roots.end());
+  while (!worklist.empty()) {
+    Node* node = worklist.back();
+    worklist.pop_back();
     Urgency urgency;
     for (const Node* dependent : node->dependents) {
-      ++steps_;
-      if (!dependent->cancelled) merge(urgency, asked_by(*dependent));
+      ++edges_visited_;
+      if (!dependent->cancelled) merge(urgency, urgency_required_by(*dependent));
     }
     if (urgency == node->inherited) continue;
     node->inherited = urgency;
     effects_.urgency_changed.push_back(node->id);
-    left.insert(left.end(), node->prerequisites.begin(), node->prerequisites.end());
+    worklist.insert(worklist.end(), node->prerequisites.begin(), node->prerequisites.end());
   }
 }
 
-// ---------------------------------------------------------------------------- questions
+// ------------------------------------------------------------------------------ queries
 
-bool DependencyGraph::waits(const std::string& id) const {
+bool DependencyGraph::is_blocked(const std::string& id) const {
   const Node* node = find(id);
-  return node != nullptr && node->open && (node->cancelled || !node->prerequisites.empty());
+  return node != nullptr && node->is_open && (node->cancelled || !node->prerequisites.empty());
 }
 
-std::vector<std::string> DependencyGraph::waiting(std::size_t most) const {
-  std::vector<std::string> out;
+std::vector<std::string> DependencyGraph::waiting_jobs(std::size_t limit) const {
+  std::vector<std::string> ids;
   for (const auto& [id, node] : nodes_) {
-    if (out.size() == most) break;
-    if (node.open && !node.cancelled && !node.prerequisites.empty()) out.push_back(id);
+    if (ids.size() == limit) break;
+    if (node.is_open && !node.cancelled && !node.prerequisites.empty()) ids.push_back(id);
   }
-  return out;
+  return ids;
 }
 
 bool DependencyGraph::is_prerequisite(const std::string& id) const {
@@ -201,22 +206,22 @@
 }
 
 std::vector<std::string> DependencyGraph::prerequisites() const {
-  std::vector<std::string> out;
+  std::vector<std::string> ids;
   for (const auto& [id, node] : nodes_)
-    if (!node.dependents.empty()) out.push_back(id);
-  return out;
+    if (!node.dependents.empty()) ids.push_back(id);
+  return ids;
 }
 
 std::vector<std::string> DependencyGraph::prerequisites_of(const std::string& id,
-                                                           std::size_t most) const {
-  std::vector<std::string> out;
+                                                           std::size_t limit) const {
+  std::vector<std::string> ids;
   const Node* node = find(id);
-  if (!node) return out;
+  if (!node) return ids;
   for (const Node* prerequisite : node->prerequisites) {
-    if (out.size() == most) break;
-    out.push_back(prerequisite->id);
+    if (ids.size() == limit) break;
+    ids.push_back(prerequisite->id);
   }
-  return out;
+  return ids;
 }
 
 std::size_t DependencyGraph::prerequisite_count(const std::string& id) const {
@@ -227,15 +232,15 @@
 bool DependencyGraph::depends_on(const std::string& id, const std::set<std::string>& others) const {
   const Node* start = find(id);
   if (!start || others.empty()) return false;
-  std::set<const Node*> seen{start};
-  std::vector<const Node*> left{start};
-  while (!left.empty()) {
-    const Node* node = left.back();
-    left.pop_back();
+  std::set<const Node*> visited{start};
+  std::vector<const Node*> worklist{start};
+  while (!worklist.empty()) {
+    const Node* node = worklist.back();
+    worklist.pop_back();
     for (const Node* prerequisite : node->prerequisites) {
-      ++steps_;
+      ++edges_visited_;
       if (others.contains(prerequisite->id)) return true;
-      if (seen.insert(prerequisite).second) left.push_back(prerequisite);
+      if (visited.insert(prerequisite).second) worklist.push_back(prerequisite);
     }
   }
   return false;
@@ -249,7 +254,7 @@
 
 std::optional<DependencyGraph::Readiness> DependencyGraph::readiness(const std::string& id) const {
   const Node* node = find(id);
-  if (!node || !node->open) return std::nullopt;
+  if (!node || !node->is_open) return std::nullopt;
   return node->readiness;
 }
 
--- a/src/scheduler/draining.cc
+++ b/src/scheduler/draining.cc
@@ -1,4 +1,4 @@
-// Cordoned and drained machines.
+// Chooses the machines to cordon and the services to move.
 #include "scheduler/draining.h"
 
 #include <algorithm>
@@ -19,7 +19,9 @@
     if (machine->reconciled && machine->heartbeat_received && !machine->lease_expired &&
         !machine->transferring && machine->type && (drain || machine->service_cpus == 0))
       candidates.push_back(machine.get());
-  // Those that run empty already first, then the emptiest; to be drained, the soonest empty.
+  // Machines that are cordoned already (for a drain: drained already) come first, then the
+  // emptiest. For a drain, the end of the last array task is compared first: the soonest comes
+  // first.
   const auto key = [now, drain](const ScheduledMachine* machine) {
     return std::tuple((drain ? machine->drain_until : machine->cordoned_until) < now,
                       drain ? std::max(now, machine->arrays_end()) : 0, machine->service_cpus,
@@ -35,26 +37,26 @@
   }
 }
 
-// The replica starts on the other machine once it is seen to be gone here. One at a time, so that a
-// service of several is never down.
+// The replica starts on another machine once a heartbeat has shown that it is gone from this one.
+// Replicas are moved one at a time, so that a service with several replicas is never down.
 void Draining::move_service(ScheduledMachine& machine, const UnreconciledMachines& unreconciled,
-                            Ms now, std::vector<Command>& out) const {
+                            Ms now, std::vector<Command>& commands) const {
   if (machine.drain_until <= now || !machine.schedulable(now)) return;
-  const bool moving =
+  const bool move_in_progress =
       std::any_of(machine.tasks.begin(), machine.tasks.end(),
                   [](const auto& entry) { return entry.second.stop_grace_s.has_value(); });
-  if (moving) return;
+  if (move_in_progress) return;
   for (auto& [key, task] : machine.tasks) {
     if (!task.service || !task.job || task.job->finalizing ||
-        !fits_elsewhere(machine, *task.job, unreconciled, now))
+        !fits_on_another_machine(machine, *task.job, unreconciled, now))
       continue;
-    stop_task(key, task, out);
+    stop_task(key, task, commands);
     return;
   }
 }
 
-bool Draining::fits_elsewhere(const ScheduledMachine& machine, const ScheduledJob& job,
-                              const UnreconciledMachines& unreconciled, Ms now) const {
+bool Draining::fits_on_another_machine(const ScheduledMachine& machine, const ScheduledJob& job,
+                                       const UnreconciledMachines& unreconciled, Ms now) const {
   return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
     const ScheduledMachine& other = *entry.second;
     return &other != &machine && other.accepts_tasks(now) && other.images.contains(job.image) &&
--- a/src/scheduler/draining.h
+++ b/src/scheduler/draining.h
@@ -1,4 +1,4 @@
-// Machines that are to run empty because other partitions need them.
+// Cordons and drains machines that other partitions need.
 #pragma once
 #include <vector>
 
@@ -11,22 +11,23 @@
 
 namespace eiderreel {
 
-/// Cordons machines, and moves services away from those that are drained.
+/// Cordons machines, so that they get no new tasks, and moves services off drained machines.
 class Draining {
  public:
   Draining(const MachinePool& machines, const PlacementRules& rules)
       : machines_(machines), rules_(rules) {}
 
-  /// Cordons machines of about so many CPUs for a few seconds. `drain`: also such with services,
-  /// which are moved away one by one.
+  /// Cordons machines with up to `cpus` CPUs in total for a few seconds. If `drain` is set,
+  /// machines with services are eligible too, and their services are moved away one by one.
   void cordon(double cpus, bool drain, Ms now);
-  /// Stops one service here that another machine can take, if this machine is drained.
+  /// If this machine is being drained, stops one of its service replicas that another machine can
+  /// take.
   void move_service(ScheduledMachine& machine, const UnreconciledMachines& unreconciled, Ms now,
-                    std::vector<Command>& out) const;
+                    std::vector<Command>& commands) const;
 
  private:
-  bool fits_elsewhere(const ScheduledMachine& machine, const ScheduledJob& job,
-                      const UnreconciledMachines& unreconciled, Ms now) const;
+  bool fits_on_another_machine(const ScheduledMachine& machine, const ScheduledJob& job,
+                               const UnreconciledMachines& unreconciled, Ms now) const;
 
   const MachinePool& machines_;
   const PlacementRules& rules_;
--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -106,8 +106,8 @@
   machine.spot = heartbeat.spot;
   machine.type_name = heartbeat.type;
   if (const MachineType* type = machines_.type(heartbeat.type)) machine.type = type;
-  if (heartbeat.notice_s)
-    machine.taken_at = now + static_cast<Ms>(*heartbeat.notice_s * 1000);
+  if (heartbeat.termination_notice_s)
+    machine.taken_at = now + static_cast<Ms>(*heartbeat.termination_notice_s * 1000);
   else
     machine.taken_at.reset();
 }
--- a/src/scheduler/image_catalog.h
+++ b/src/scheduler/image_catalog.h
@@ -1,4 +1,4 @@
-// Numbers for the images of jobs.
+// Assigns numbers to the images of jobs.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -6,16 +6,16 @@
 
 namespace eiderreel {
 
-/// Gives each image a small number, so that machines can keep sets of them.
+/// Maps each image to a small number, so that machines can keep sets of numbers instead of names.
 class ImageCatalog {
  public:
-  /// The number of the image, a new one if it has none yet.
+  /// Returns the number of the image; assigns the next free one to a new image.
   std::size_t number(const std::string& image) {
     return numbers_.try_emplace(image, numbers_.size()).first->second;
   }
-  /// How many images have a number.
+  /// The number of images in the catalog.
   std::size_t size() const { return numbers_.size(); }
-  /// Forgets all numbers. Whoever holds one has to ask again.
+  /// Removes all images. All numbers returned before become invalid.
   void clear() { numbers_.clear(); }
 
  private:
--- a/src/scheduler/load_report.cc
+++ b/src/scheduler/load_report.cc
@@ -21,14 +21,14 @@
   add_jobs(load, now);
   add_machines(load, now);
   load.slack_s = jobs_.slack_s();
-  load.wait_s = jobs_.wait_s();
+  load.start_objective_s = jobs_.wait_s();
   return load;
 }
 
 void LoadReport::add_jobs(PartitionLoad& load, Ms now) const {
   std::vector<double> quota_room(teams_.size());
   for (std::size_t team = 0; team < teams_.size(); ++team) {
-    quota_room[team] = teams_.quota_room(team);
+    quota_room[team] = teams_.remaining_quota_cpus(team);
     load.used_cpus += teams_.used_cpus(team);
   }
   for (const ScheduledJob* job : jobs_.jobs()) {
@@ -39,7 +39,8 @@
     load.waiting_cpus += wanted;
     // A job that waits beside room of other partitions, on machines that never run empty.
     if (job->bound == 0 && wanted >= job->spec.cpus)
-      load.waited_s = std::max(load.waited_s, static_cast<double>(now - job->waiting_since) / 1000);
+      load.longest_wait_s =
+          std::max(load.longest_wait_s, static_cast<double>(now - job->waiting_since) / 1000);
     if (job->spec.spot) load.waiting_spot_cpus += wanted;
     if (job->is_service()) load.waiting_service_cpus += wanted;
     load.waiting_core_s += job->queued_cpus() * job->spec.estimate_s;
@@ -60,7 +61,7 @@
     if (!machine->schedulable(now) || !machine->tasks.empty()) continue;
     ++load.idle_machines;
     (machine->spot ? load.idle_spot_cpus : load.idle_cpus) += cpus;
-    if (now - machine->idle_since >= totals_.idle_keep_ms())
+    if (now - machine->idle_since >= totals_.min_idle_ms())
       (machine->spot ? load.releasable_spot_cpus : load.releasable_cpus) += cpus;
   }
 }
@@ -84,7 +85,7 @@
   for (const auto& [id, machine] : machines_)
     // One that was let run empty is given away at once; its advice is renewed all the time.
     if (machine->spot == spot && machine->schedulable(now) && machine->tasks.empty() &&
-        (!rested || now - machine->idle_since >= totals_.idle_keep_ms()))
+        (!rested || now - machine->idle_since >= totals_.min_idle_ms()))
       idle.push_back(machine.get());
   std::sort(idle.begin(), idle.end(), [](const ScheduledMachine* a, const ScheduledMachine* b) {
     return std::tie(a->idle_since, a->id) < std::tie(b->idle_since, b->id);
--- a/src/scheduler/partition_scheduler.cc
+++ b/src/scheduler/partition_scheduler.cc
@@ -357,11 +357,14 @@
 }
 
 std::uint64_t PartitionScheduler::steps() const {
-  return parts_->jobs.steps() + parts_->delays.steps() + parts_->preemption.steps();
+  return parts_->jobs.steps() + parts_->delays.machines_examined() +
+         parts_->preemption.jobs_examined();
 }
 
 std::size_t PartitionScheduler::images_known() const { return parts_->images.size(); }
 
-std::uint64_t PartitionScheduler::take_preemptions() { return parts_->preemption.take_count(); }
+std::uint64_t PartitionScheduler::take_preemptions() {
+  return parts_->preemption.take_preempted_count();
+}
 
 }  // namespace eiderreel
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -1,4 +1,4 @@
-// The launches on one machine.
+// Decides which tasks to launch on one machine.
 #include "scheduler/placement.h"
 
 #include <vector>
@@ -14,51 +14,54 @@
 namespace eiderreel {
 
 std::vector<Command> Placement::place(ScheduledMachine& machine, Ms now) {
-  std::vector<Command> out;
+  std::vector<Command> commands;
   const UnreconciledMachines& unreconciled = machines_.unreconciled();
-  steps_.draining.move_service(machine, unreconciled, now, out);
-  if (!machine.accepts_tasks(now) || jobs_.waiting().empty()) return out;
-  steps_.reservation.update(machine, unreconciled, now);
-  if (has_room_for_smallest(machine)) {
-    const auto order = jobs_.waiting_for(machine);
+  components_.draining.move_service(machine, unreconciled, now, commands);
+  if (!machine.accepts_tasks(now) || jobs_.waiting().empty()) return commands;
+  components_.reservation.update(machine, unreconciled, now);
+  if (has_room_for_smallest_task(machine)) {
+    const auto waiting_jobs = jobs_.waiting_for(machine);
     for (const Pass pass : {Pass::within_fair_share, Pass::borrowing})
-      if (out.empty() || machine.lost_replies == 0)
-        launch(machine, order, pass, unreconciled, now, out);
+      if (commands.empty() || machine.lost_replies == 0)
+        run_pass(machine, waiting_jobs, pass, unreconciled, now, commands);
   }
-  if (machine.lost_replies == 0) steps_.preemption.make_room(machine, unreconciled, now, out);
+  if (machine.lost_replies == 0)
+    components_.preemption.make_room(machine, unreconciled, now, commands);
   if (!machine.tasks.empty()) machine.idle_since = now;
-  return out;
+  return commands;
 }
 
-bool Placement::has_room_for_smallest(const ScheduledMachine& machine) const {
+bool Placement::has_room_for_smallest_task(const ScheduledMachine& machine) const {
   return machine.taken.cpus + jobs_.smallest_waiting_cpus() <= machine.type->cpus + kRounding;
 }
 
-// Work within a fair share goes first, then borrowing; each in the order of the queue.
-void Placement::launch(ScheduledMachine& machine, const std::vector<ScheduledJob*>& order,
-                       Pass pass, const UnreconciledMachines& unreconciled, Ms now,
-                       std::vector<Command>& out) {
-  for (ScheduledJob* job : order) {
-    if (!has_room_for_smallest(machine)) return;
-    if (!steps_.reservation.admits(machine, *job) ||
-        !steps_.rules.may_start(machine, *job, unreconciled, now) ||
-        steps_.delays.waits_for_image(machine, *job, now) ||
-        steps_.delays.spares_consolidating(machine, *job, now))
+// One pass over the waiting jobs, in queue order. `place` runs a pass for jobs within their team's
+// fair share before the pass for jobs that borrow.
+void Placement::run_pass(ScheduledMachine& machine, const std::vector<ScheduledJob*>& waiting_jobs,
+                         Pass pass, const UnreconciledMachines& unreconciled, Ms now,
+                         std::vector<Command>& commands) {
+  for (ScheduledJob* job : waiting_jobs) {
+    if (!has_room_for_smallest_task(machine)) return;
+    if (!components_.reservation.admits(machine, *job) ||
+        !components_.rules.may_start(machine, *job, unreconciled, now) ||
+        components_.delays.waits_for_preferred_machine(machine, *job, now) ||
+        components_.delays.avoids_consolidating_machine(machine, *job, now))
       continue;
-    const bool launched = launch_tasks(machine, *job, pass, unreconciled, now, out);
+    const bool launched = launch_tasks(machine, *job, pass, unreconciled, now, commands);
     if (launched && on_trial(machine)) return;
   }
 }
 
-// The tasks of a job are alike, so they are decided together. Returns whether any was launched.
+// Launches as many tasks of the job as possible; its tasks are alike, so the rules checked by the
+// caller apply to all of them. Returns whether any task was launched.
 bool Placement::launch_tasks(ScheduledMachine& machine, ScheduledJob& job, Pass pass,
                              const UnreconciledMachines& unreconciled, Ms now,
-                             std::vector<Command>& out) {
+                             std::vector<Command>& commands) {
   bool launched = false;
   while (may_launch(machine, job, pass, unreconciled, now)) {
-    machine.consolidating = false;  // the totals follow with the next tick
+    machine.consolidating = false;  // the totals include this from the next tick on
     const bool starved = job.starved;
-    steps_.launcher.start(machine, job, now, out);
+    components_.launcher.start(machine, job, now, commands);
     launched = true;
     if (starved || on_trial(machine)) break;
   }
@@ -67,8 +70,8 @@
 
 bool Placement::may_launch(const ScheduledMachine& machine, const ScheduledJob& job, Pass pass,
                            const UnreconciledMachines& unreconciled, Ms now) const {
-  if (job.queued == 0 || !steps_.rules.fits(machine, job, unreconciled) ||
-      steps_.delays.waits_for_fuller(machine, job, now))
+  if (job.queued == 0 || !components_.rules.fits(machine, job, unreconciled) ||
+      components_.delays.waits_for_fuller_machine(machine, job, now))
     return false;
   if (!job.is_service() && machine.taken.cpus + job.spec.cpus + machine.service_headroom() >
                                machine.type->cpus + kRounding)
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -1,4 +1,4 @@
-// What a machine is given when its heartbeat shows room.
+// Chooses the tasks to start on a machine whose heartbeat shows free room.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -19,8 +19,8 @@
 
 namespace eiderreel {
 
-/// The steps by which placement decides, each in a class of its own.
-struct PlacementSteps {
+/// The components that take part in a placement decision.
+struct PlacementComponents {
   const PlacementRules& rules;
   Reservation& reservation;
   DelayScheduling& delays;
@@ -29,31 +29,35 @@
   Preemption& preemption;
 };
 
-/// Starts tasks. It looks at one machine alone; of the others it knows sums.
+/// Starts tasks. Each decision covers a single machine; of the other machines only totals are used,
+/// so that the work for one heartbeat does not grow with the number of machines.
 class Placement {
  public:
-  Placement(const TeamUsage& teams, MachinePool& machines, JobQueue& jobs, PlacementSteps steps)
-      : teams_(teams), machines_(machines), jobs_(jobs), steps_(steps) {}
+  Placement(const TeamUsage& teams, MachinePool& machines, JobQueue& jobs,
+            PlacementComponents components)
+      : teams_(teams), machines_(machines), jobs_(jobs), components_(components) {}
 
-  /// The commands for this machine, to be put into the answer to its newest heartbeat.
+  /// Returns the commands for this machine, to be sent in the reply to its newest heartbeat.
   std::vector<Command> place(ScheduledMachine& machine, Ms now);
 
  private:
-  // In which room of their team tasks may start.
+  // Whether tasks may start only within the fair share of their team, or also on borrowed capacity.
   enum class Pass : std::uint8_t { within_fair_share, borrowing };
 
-  bool has_room_for_smallest(const ScheduledMachine& machine) const;
-  void launch(ScheduledMachine& machine, const std::vector<ScheduledJob*>& order, Pass pass,
-              const UnreconciledMachines& unreconciled, Ms now, std::vector<Command>& out);
+  bool has_room_for_smallest_task(const ScheduledMachine& machine) const;
+  void run_pass(ScheduledMachine& machine, const std::vector<ScheduledJob*>& waiting_jobs,
+                Pass pass, const UnreconciledMachines& unreconciled, Ms now,
+                std::vector<Command>& commands);
   bool launch_tasks(ScheduledMachine& machine, ScheduledJob& job, Pass pass,
-                    const UnreconciledMachines& unreconciled, Ms now, std::vector<Command>& out);
+                    const UnreconciledMachines& unreconciled, Ms now,
+                    std::vector<Command>& commands);
   bool may_launch(const ScheduledMachine& machine, const ScheduledJob& job, Pass pass,
                   const UnreconciledMachines& unreconciled, Ms now) const;
 
   const TeamUsage& teams_;
   MachinePool& machines_;
   JobQueue& jobs_;
-  PlacementSteps steps_;
+  PlacementComponents components_;
 };
 
 }  // namespace eiderreel
--- a/src/scheduler/placement_rules.cc
+++ b/src/scheduler/placement_rules.cc
@@ -1,4 +1,4 @@
-// Rules of room, quota, zones and unreconciled machines.
+// Checks of free resources, quotas, zones and unreconciled machines.
 #include "scheduler/placement_rules.h"
 
 #include "constants.h"
@@ -18,13 +18,13 @@
          taken.memory_gb + spec.memory_gb <= type.memory_gb + kRounding;
 }
 
-bool zone_allows(const ScheduledMachine& machine, const ScheduledJob& job) {
+bool satisfies_zone_rules(const ScheduledMachine& machine, const ScheduledJob& job) {
   const JobSpec& spec = job.spec;
   if (spec.one_zone && !job.zones.empty() && !job.zones.contains(machine.zone)) return false;
   if (!spec.spread) return true;
   const auto zone = job.zones.find(machine.zone);
-  const int here = zone == job.zones.end() ? 0 : zone->second;
-  return here + 1 <= static_cast<int>((spec.tasks + 1) / 2);
+  const int tasks_in_zone = zone == job.zones.end() ? 0 : zone->second;
+  return tasks_in_zone + 1 <= static_cast<int>((spec.tasks + 1) / 2);
 }
 
 }  // namespace
@@ -32,7 +32,8 @@
 bool PlacementRules::may_start(const ScheduledMachine& machine, const ScheduledJob& job,
                                const UnreconciledMachines& unreconciled, Ms now) const {
   if (job.queued == 0 || job.finalizing || job.not_before > now) return false;
-  // Invariant 5: an older job's tasks may run on any machine not heard of yet that could hold them.
+  // Invariant 5: tasks of a job that is older than the partition's claim may already run on any
+  // unreconciled machine that could host them, so none is started as long as such machines exist.
   if (job.predates_claim && (job.spec.spot ? unreconciled.count : unreconciled.on_demand) > 0)
     return false;
   const auto avoided = job.avoided_machines.find(machine.id);
@@ -40,13 +41,14 @@
          job.avoided_machines.size() >= machines_.size();
 }
 
-bool PlacementRules::fits_beside(const Resources& taken, const ScheduledMachine& machine,
-                                 const ScheduledJob& job,
-                                 const UnreconciledMachines& unreconciled) const {
+bool PlacementRules::fits_given_usage(const Resources& taken, const ScheduledMachine& machine,
+                                      const ScheduledJob& job,
+                                      const UnreconciledMachines& unreconciled) const {
   return has_room(taken, *machine.type, job.spec) &&
          may_host(job.spec, *machine.type, machine.zone, machine.spot) &&
-         // Tasks that may run on machines not heard of yet count as if they filled them.
-         teams_.within_quota(job.team, job.spec, unreconciled.cpus) && zone_allows(machine, job);
+         // Machines that may run unknown tasks count towards the quota with all their CPUs.
+         teams_.within_quota(job.team, job.spec, unreconciled.cpus) &&
+         satisfies_zone_rules(machine, job);
 }
 
 }  // namespace eiderreel
--- a/src/scheduler/placement_rules.h
+++ b/src/scheduler/placement_rules.h
@@ -1,4 +1,4 @@
-// Which tasks may run on which machine.
+// Rules that decide which tasks may run on which machine.
 #pragma once
 #include "constants.h"
 #include "scheduler/machine_pool.h"
@@ -9,23 +9,25 @@
 
 namespace eiderreel {
 
-/// The rules that every start keeps.
+/// The rules that every start of a task must satisfy.
 class PlacementRules {
  public:
   PlacementRules(const TeamUsage& teams, const MachinePool& machines)
       : teams_(teams), machines_(machines) {}
 
-  /// Whether a task of the job may be started now, and on this machine, its size aside.
+  /// Whether a task of the job may be started now on this machine, apart from resources, quota and
+  /// zones, which `fits` checks.
   bool may_start(const ScheduledMachine& machine, const ScheduledJob& job,
                  const UnreconciledMachines& unreconciled, Ms now) const;
-  /// Whether one more task of the job fits: the room here, its team's quota and its zones.
+  /// Whether one more task of the job fits: the machine has enough free resources and an allowed
+  /// type, and the team's quota and the job's zone rules permit it.
   bool fits(const ScheduledMachine& machine, const ScheduledJob& job,
             const UnreconciledMachines& unreconciled) const {
-    return fits_beside(machine.taken, machine, job, unreconciled);
+    return fits_given_usage(machine.taken, machine, job, unreconciled);
   }
-  /// Whether it would fit if of all that runs here only so much stayed.
-  bool fits_beside(const Resources& taken, const ScheduledMachine& machine, const ScheduledJob& job,
-                   const UnreconciledMachines& unreconciled) const;
+  /// Like `fits`, but as if only `taken` were in use on the machine.
+  bool fits_given_usage(const Resources& taken, const ScheduledMachine& machine,
+                        const ScheduledJob& job, const UnreconciledMachines& unreconciled) const;
 
  private:
   const TeamUsage& teams_;
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -1,4 +1,4 @@
-// Who is preempted, by whom, and when.
+// Decides which tasks are preempted, for which job and after which wait.
 #include "scheduler/preemption.h"
 
 #include <algorithm>
@@ -21,9 +21,9 @@
          free.memory_gb + kRounding >= spec.memory_gb;
 }
 
-// The room that is free before the launches of the same answer: what is told to stop without
-// saving goes before them.
-Resources free_for_launches(const ScheduledMachine& machine) {
+// The resources that are free when the launches of the same reply are executed. Tasks that are to
+// stop without saving count as gone, as the worker stops them before it starts others.
+Resources free_before_launches(const ScheduledMachine& machine) {
   Resources free = Resources::of(*machine.type);
   for (const auto& [key, task] : machine.tasks)
     if (task.stop_grace_s != 0.0) free -= task.size;
@@ -32,35 +32,36 @@
 
 }  // namespace
 
-// This follows a moment in which another machine may have had room.
+// Jobs may preempt only after a wait in which the heartbeat of another machine may have shown free
+// room for them.
 void Preemption::make_room(ScheduledMachine& machine, const UnreconciledMachines& unreconciled,
-                           Ms now, std::vector<Command>& out) {
-  // A fair share is reclaimed no sooner than its objective asks for. What borrows ends by itself in
-  // most cases; stopped at once, most arrays that were late had lost their last tasks again and
-  // again.
-  const Ms reclaim_after =
+                           Ms now, std::vector<Command>& commands) {
+  // A fair share is reclaimed no sooner than its start objective requires. Most borrowing tasks end
+  // by themselves before that; when they were preempted at once, most of the late arrays were late
+  // because their last tasks had been stopped repeatedly.
+  const Ms reclaim_after_ms =
       std::max(constants::kReclaimSoonestMs, inputs_.policy.fair_share_start_ms -
                                                  constants::kReclaimMarginMs -
                                                  inputs_.policy.heartbeat_round_ms());
   for (ScheduledJob* job : jobs_.waiting()) {
-    ++steps_;
-    const Ms waited = now - job->waiting_since;
+    ++jobs_examined_;
+    const Ms waited_ms = now - job->waiting_since;
     const bool by_priority =
-        job->priority > Priority::standard && waited >= constants::kPreemptAfterMs;
-    // What fits into room that is free on machines which have not sent a heartbeat yet needs no
-    // victims. On jelajah-grown some jobs had each of their tasks stopped for nothing.
-    const bool by_fair_share = waited >= reclaim_after && within_fair_share(*job) &&
-                               job->queued_cpus() > inputs_.totals.free_for(*job);
+        job->priority > Priority::standard && waited_ms >= constants::kPreemptAfterMs;
+    // No preemption for tasks that fit into free room on machines whose next heartbeat is still to
+    // come. Without this check, some jobs had every one of their tasks stopped without need.
+    const bool by_fair_share = waited_ms >= reclaim_after_ms && within_fair_share(*job) &&
+                               job->queued_cpus() > inputs_.totals.free_cpus_for(*job);
     if (!by_priority && !by_fair_share) continue;
     if (!inputs_.reservation.admits(machine, *job) ||
         !inputs_.rules.may_start(machine, *job, unreconciled, now) ||
-        delays_.waits_for_image(machine, *job, now))
+        delays_.waits_for_preferred_machine(machine, *job, now))
       continue;
     while (by_priority && job->queued > 0 &&
-           preempt_for(machine, *job, Ground::priority, unreconciled, now, out)) {
+           preempt_for(machine, *job, PreemptionReason::priority, unreconciled, now, commands)) {
     }
     while (by_fair_share && job->queued > 0 && within_fair_share(*job) &&
-           preempt_for(machine, *job, Ground::fair_share, unreconciled, now, out)) {
+           preempt_for(machine, *job, PreemptionReason::fair_share, unreconciled, now, commands)) {
     }
   }
 }
@@ -69,36 +70,38 @@
   return inputs_.teams.within_fair_share(job.team, job.spec.cpus);
 }
 
-// Stops tasks here and starts one of the job in their room, in the same answer: the worker obeys
-// in order, and a task that cannot save is gone at once. One that can save is told to, and its
-// room is used when it is seen to be gone. Returns whether the task was started.
-bool Preemption::preempt_for(ScheduledMachine& machine, ScheduledJob& job, Ground ground,
+// Stops tasks on this machine and starts one task of the job in their place, in the same reply: the
+// worker executes commands in order, and a task that cannot save stops at once. If any of the
+// stopped tasks saves first, nothing is started; the freed resources are used after a heartbeat has
+// shown that the task is gone. Returns whether a task was started.
+bool Preemption::preempt_for(ScheduledMachine& machine, ScheduledJob& job, PreemptionReason reason,
                              const UnreconciledMachines& unreconciled, Ms now,
-                             std::vector<Command>& out) {
-  const auto victims = choose_victims(machine, job, ground, now);
+                             std::vector<Command>& commands) {
+  const auto victims = choose_victims(machine, job, reason, now);
   if (!victims) return false;
-  if (!inputs_.rules.fits_beside({}, machine, job, unreconciled)) return false;
-  bool at_once = true;
+  if (!inputs_.rules.fits_given_usage({}, machine, job, unreconciled)) return false;
+  bool all_stopped_at_once = true;
   for (Victim* victim : *victims) {
-    at_once &= stop_task(victim->first, victim->second, out);
-    ++count_;
+    all_stopped_at_once &= stop_task(victim->first, victim->second, commands);
+    ++preempted_count_;
   }
-  if (at_once) launcher_.start(machine, job, now, out);
-  return at_once;
+  if (all_stopped_at_once) launcher_.start(machine, job, now, commands);
+  return all_stopped_at_once;
 }
 
-// None: all that may be stopped is not enough.
+// Returns the tasks to stop so that a task of the job fits, or none if stopping all candidates does
+// not free enough.
 std::optional<std::vector<Preemption::Victim*>> Preemption::choose_victims(
-    ScheduledMachine& machine, const ScheduledJob& job, Ground ground, Ms now) const {
-  Resources free = free_for_launches(machine);
+    ScheduledMachine& machine, const ScheduledJob& job, PreemptionReason reason, Ms now) const {
+  Resources free = free_before_launches(machine);
   std::vector<Victim*> victims;
-  double given = 0;
-  for (Victim* candidate : candidates(machine, job, ground, now)) {
+  double preempted_cpus = 0;
+  for (Victim* candidate : candidates(machine, job, reason, now)) {
     if (covers(free, job.spec)) break;
     const BoundTask& task = candidate->second;
-    if (ground == Ground::fair_share) {
-      if (!inputs_.teams.keeps_fair_share(*task.team, given, task.size.cpus)) continue;
-      given += task.size.cpus;
+    if (reason == PreemptionReason::fair_share) {
+      if (!inputs_.teams.keeps_fair_share(*task.team, preempted_cpus, task.size.cpus)) continue;
+      preempted_cpus += task.size.cpus;
     }
     free += task.size;
     victims.push_back(candidate);
@@ -107,13 +110,14 @@
   return victims;
 }
 
-// The lowest priority first, then the youngest: the least work is lost.
+// The tasks that may be preempted, the lowest priority first. Within a priority the latest started
+// come first, as they lose the least work.
 std::vector<Preemption::Victim*> Preemption::candidates(ScheduledMachine& machine,
-                                                        const ScheduledJob& job, Ground ground,
-                                                        Ms now) const {
+                                                        const ScheduledJob& job,
+                                                        PreemptionReason reason, Ms now) const {
   std::vector<Victim*> candidates;
   for (Victim& entry : machine.tasks)
-    if (may_preempt(entry.second, job, ground, now)) candidates.push_back(&entry);
+    if (may_preempt(entry.second, job, reason, now)) candidates.push_back(&entry);
   std::sort(candidates.begin(), candidates.end(), [](const Victim* a, const Victim* b) {
     const Priority priority_a = a->second.job->priority;
     const Priority priority_b = b->second.job->priority;
@@ -123,12 +127,12 @@
   return candidates;
 }
 
-bool Preemption::may_preempt(const BoundTask& task, const ScheduledJob& job, Ground ground,
-                             Ms now) const {
+bool Preemption::may_preempt(const BoundTask& task, const ScheduledJob& job,
+                             PreemptionReason reason, Ms now) const {
   if (!task.job || task.stop_grace_s || task.phase == TaskPhase::flushing || now < task.kept_until)
     return false;
-  if (ground == Ground::priority) return task.job->priority < job.priority;
-  // A team keeps its own fair share.
+  if (reason == PreemptionReason::priority) return task.job->priority < job.priority;
+  // The team of the preempted task keeps its own fair share.
   return task.team != job.team && !task.service && task.job->priority <= job.priority &&
          inputs_.teams.keeps_fair_share(*task.team, 0, task.size.cpus);
 }
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -1,4 +1,4 @@
-// Room that is made by stopping other tasks.
+// Frees resources for waiting jobs by stopping running tasks.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -21,7 +21,7 @@
 
 namespace eiderreel {
 
-/// What all decisions about preemption look at.
+/// Read-only inputs of all preemption decisions.
 struct PreemptionInputs {
   const SchedulingPolicy& policy;
   const TeamUsage& teams;
@@ -30,42 +30,46 @@
   const Reservation& reservation;
 };
 
-/// Preempts work of lower priority and, for a team below its fair share, what others have borrowed.
+/// Preempts tasks of lower priority and, for a team below its fair share, tasks that run on
+/// capacity borrowed by other teams.
 class Preemption {
  public:
   Preemption(PreemptionInputs inputs, JobQueue& jobs, DelayScheduling& delays,
              TaskLauncher& launcher)
       : inputs_(inputs), jobs_(jobs), delays_(delays), launcher_(launcher) {}
 
-  /// Makes room on this machine for what has waited long enough, and starts it there.
+  /// Preempts tasks on this machine for jobs that have waited long enough, and starts tasks of
+  /// those jobs on it.
   void make_room(ScheduledMachine& machine, const UnreconciledMachines& unreconciled, Ms now,
-                 std::vector<Command>& out);
-  /// Tasks preempted since the last call.
-  std::uint64_t take_count() { return std::exchange(count_, 0); }
-  /// Jobs looked at since the start.
-  std::uint64_t steps() const { return steps_; }
+                 std::vector<Command>& commands);
+  /// Returns the number of tasks preempted since the last call.
+  std::uint64_t take_preempted_count() { return std::exchange(preempted_count_, 0); }
+  /// Number of waiting jobs examined since the start.
+  std::uint64_t jobs_examined() const { return jobs_examined_; }
 
  private:
-  // What entitles a job to stop others.
-  enum class Ground : std::uint8_t { priority, fair_share };
+  // Why a job may preempt tasks of other jobs.
+  enum class PreemptionReason : std::uint8_t { priority, fair_share };
   using Victim = std::map<TaskKey, BoundTask>::value_type;
 
   bool within_fair_share(const ScheduledJob& job) const;
-  bool may_preempt(const BoundTask& task, const ScheduledJob& job, Ground ground, Ms now) const;
-  std::vector<Victim*> candidates(ScheduledMachine& machine, const ScheduledJob& job, Ground ground,
-                                  Ms now) const;
+  bool may_preempt(const BoundTask& task, const ScheduledJob& job, PreemptionReason reason,
+                   Ms now) const;
+  std::vector<Victim*> candidates(ScheduledMachine& machine, const ScheduledJob& job,
+                                  PreemptionReason reason, Ms now) const;
   std::optional<std::vector<Victim*>> choose_victims(ScheduledMachine& machine,
-                                                     const ScheduledJob& job, Ground ground,
-                                                     Ms now) const;
-  bool preempt_for(ScheduledMachine& machine, ScheduledJob& job, Ground ground,
-                   const UnreconciledMachines& unreconciled, Ms now, std::vector<Command>& out);
+                                                     const ScheduledJob& job,
+                                                     PreemptionReason reason, Ms now) const;
+  bool preempt_for(ScheduledMachine& machine, ScheduledJob& job, PreemptionReason reason,
+                   const UnreconciledMachines& unreconciled, Ms now,
+                   std::vector<Command>& commands);
 
   PreemptionInputs inputs_;
   JobQueue& jobs_;
   DelayScheduling& delays_;
   TaskLauncher& launcher_;
-  std::uint64_t count_ = 0;
-  std::uint64_t steps_ = 0;
+  std::uint64_t preempted_count_ = 0;
+  std::uint64_t jobs_examined_ = 0;
 };
 
 }  // namespace eiderreel
--- a/src/scheduler/reservation.h
+++ b/src/scheduler/reservation.h
@@ -1,4 +1,4 @@
-// Room that is held for a job which starves.
+// Reserves a machine for a starved job.
 #pragma once
 #include <optional>
 #include <string>
@@ -13,24 +13,27 @@
 
 namespace eiderreel {
 
-/// One machine that takes no other arrays until a starved job has begun on it. A task that needs a
-/// whole machine never met an empty one, as whatever was freed was taken by smaller tasks at once.
+/// The reservation of at most one machine of the partition for a starved job. The reserved machine
+/// takes no tasks of other job arrays until a task of the starved job has started. Without it, a
+/// task that needs a whole machine never found an empty one, as smaller tasks took all freed
+/// resources at once.
 class Reservation {
  public:
   Reservation(const SchedulingPolicy& policy, const MachinePool& machines, JobQueue& jobs,
               const PlacementRules& rules)
       : policy_(policy), machines_(machines), jobs_(jobs), rules_(rules) {}
 
-  /// Gives up a reservation that has become void. If there is none, reserves this machine for the
-  /// first starved job that fits on no machine as it stands.
+  /// Drops a reservation that is not needed any more. If there is none, reserves this machine for
+  /// the first starved job that fits on no machine at its present load but would fit on this one
+  /// once its arrays have ended.
   void update(const ScheduledMachine& machine, const UnreconciledMachines& unreconciled, Ms now);
-  /// Whether the machine may take tasks of the job.
+  /// Whether the reservation allows the machine to take tasks of the job.
   bool admits(const ScheduledMachine& machine, const ScheduledJob& job) const;
-  /// A task of the job has been started.
+  /// Drops the reservation if it is for this job, a task of which has been started.
   void job_started(const ScheduledJob& job);
 
  private:
-  struct Held {
+  struct ReservedMachine {
     std::string machine;
     std::string job;
   };
@@ -40,7 +43,7 @@
   const MachinePool& machines_;
   JobQueue& jobs_;
   const PlacementRules& rules_;
-  std::optional<Held> held_;
+  std::optional<ReservedMachine> reserved_;
 };
 
 }  // namespace eiderreel
--- a/src/scheduler/scheduled_job.cc
+++ b/src/scheduler/scheduled_job.cc
@@ -51,8 +51,8 @@
   const auto objectives = policy.completion_objectives.find(spec.jobclass);
   if (objectives != policy.completion_objectives.end())
     for (const CompletionObjective& objective : objectives->second) {
-      if (objective.times > 0)
-        add(submitted, objective.times * deadline_s);
+      if (objective.deadline_multiple > 0)
+        add(submitted, objective.deadline_multiple * deadline_s);
       else
         add(ready, objective.within_s);
     }
--- a/src/scheduler/task_bindings.cc
+++ b/src/scheduler/task_bindings.cc
@@ -23,7 +23,7 @@
   task.team = job.team;
   task.service = job.is_service();
   task.ends = now + static_cast<Ms>(job.spec.estimate_s * 1000);
-  totals_.add_free(machine, -task.size.cpus);
+  totals_.add_free_cpus(machine, -task.size.cpus);
   machine.taken += task.size;
   if (task.service) {
     machine.service_cpus += task.size.cpus;
@@ -31,7 +31,7 @@
   }
   // From now on it has the image or fetches it, so whoever needs it too is best sent here.
   machine.images.insert(job.image);
-  teams_.take(job.team, task.size);
+  teams_.add_usage(job.team, task.size);
   if (job.tasks[index] == TaskState::queued) {
     job.tasks[index] = TaskState::bound;
     --job.queued;
@@ -55,7 +55,7 @@
   if (job) {
     task.size = Resources::of(job->spec);
     task.team = job->team;
-    teams_.take(job->team, task.size);
+    teams_.add_usage(job->team, task.size);
   } else {
     machines_.add_unknown_tasks(machine, 1);
   }
@@ -75,8 +75,8 @@
     machine.taken = {};
     machine.service_cpus = 0;
   }
-  totals_.add_free(machine, task.size.cpus);
-  if (task.team) teams_.give_back(*task.team, task.size);
+  totals_.add_free_cpus(machine, task.size.cpus);
+  if (task.team) teams_.subtract_usage(*task.team, task.size);
   if (!task.job) return;
   ScheduledJob& job = *task.job;
   --job.bound;
--- a/src/scheduler/team_usage.cc
+++ b/src/scheduler/team_usage.cc
@@ -1,4 +1,4 @@
-// The rules of fair shares and quotas.
+// Checks of fair shares and quotas.
 #include "scheduler/team_usage.h"
 
 #include <algorithm>
@@ -22,11 +22,11 @@
   return std::nullopt;
 }
 
-void TeamUsage::take(std::size_t team, const Resources& size) { used_[team] += size; }
+void TeamUsage::add_usage(std::size_t team, const Resources& size) { used_[team] += size; }
 
-void TeamUsage::give_back(std::size_t team, const Resources& size) { used_[team] -= size; }
+void TeamUsage::subtract_usage(std::size_t team, const Resources& size) { used_[team] -= size; }
 
-double TeamUsage::quota_room(std::size_t team) const {
+double TeamUsage::remaining_quota_cpus(std::size_t team) const {
   return std::max(0.0, teams_[team].quota_cpus - used_[team].cpus);
 }
 
@@ -42,8 +42,8 @@
   return used_[team].cpus + cpus <= teams_[team].fair_share_cpus + kRounding;
 }
 
-bool TeamUsage::keeps_fair_share(std::size_t team, double given, double cpus) const {
-  return used_[team].cpus - given - cpus >= teams_[team].fair_share_cpus - kRounding;
+bool TeamUsage::keeps_fair_share(std::size_t team, double preempted_cpus, double cpus) const {
+  return used_[team].cpus - preempted_cpus - cpus >= teams_[team].fair_share_cpus - kRounding;
 }
 
 }  // namespace eiderreel
--- a/src/scheduler/team_usage.h
+++ b/src/scheduler/team_usage.h
@@ -1,4 +1,4 @@
-// What the teams of a partition take, against their fair shares and quotas.
+// The use of resources by the teams of a partition, and its limits: fair shares and quotas.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -11,31 +11,31 @@
 
 namespace eiderreel {
 
-/// CPUs and GPUs of the tasks that may run, by team. Teams are named by their index.
+/// CPUs and GPUs of all tasks that may be running, by team. Teams are identified by their index.
 class TeamUsage {
  public:
   explicit TeamUsage(std::vector<Team> teams);
 
-  /// How many teams there are.
+  /// The number of teams.
   std::size_t size() const { return teams_.size(); }
-  /// The index of the team of that name; none: it is not of this partition.
+  /// The index of the team with this name; none if it does not belong to this partition.
   std::optional<std::size_t> find(const std::string& name) const;
-  /// A task of the team now holds so much.
-  void take(std::size_t team, const Resources& size);
-  /// A task of the team holds so much no longer.
-  void give_back(std::size_t team, const Resources& size);
+  /// Adds the resources of a task of the team.
+  void add_usage(std::size_t team, const Resources& size);
+  /// Subtracts the resources of a task of the team that is gone.
+  void subtract_usage(std::size_t team, const Resources& size);
 
-  /// CPUs that tasks of the team hold.
+  /// CPUs used by tasks of the team.
   double used_cpus(std::size_t team) const { return used_[team].cpus; }
-  /// CPUs that the team may take until it meets its quota.
-  double quota_room(std::size_t team) const;
-  /// Whether one more task of the job is within the team's quota, when so many CPUs more may be in
-  /// use on machines that are not reconciled.
+  /// CPUs that the team may still take before it reaches its quota.
+  double remaining_quota_cpus(std::size_t team) const;
+  /// Whether one more task of the job is within the team's quota, if tasks on unreconciled machines
+  /// may use another `unreconciled_cpus` of it.
   bool within_quota(std::size_t team, const JobSpec& spec, double unreconciled_cpus) const;
-  /// Whether the team may take so many CPUs more without borrowing.
+  /// Whether the team may take `cpus` more CPUs without borrowing.
   bool within_fair_share(std::size_t team, double cpus) const;
-  /// Whether a team that gives up so many CPUs, after others, still has its fair share.
-  bool keeps_fair_share(std::size_t team, double given, double cpus) const;
+  /// Whether the team still has its fair share after it has lost `preempted_cpus` and then `cpus`.
+  bool keeps_fair_share(std::size_t team, double preempted_cpus, double cpus) const;
 
  private:
   std::vector<Team> teams_;
--- a/src/state_store/cluster_view.h
+++ b/src/state_store/cluster_view.h
@@ -52,7 +52,7 @@
   DependencyGraph dependencies;                        // of the open jobs that have prerequisites
   // Ends of jobs, the most recent ones. Of a job that is missing here, the end is read from the
   // state store; it is never assumed that there is none.
-  std::unordered_map<std::string, DependencyGraph::End> finals;
+  std::unordered_map<std::string, DependencyGraph::FinalRecord> finals;
 };
 
 }  // namespace eiderreel
--- a/src/state_store/rate_limiter.cc
+++ b/src/state_store/rate_limiter.cc
@@ -44,11 +44,11 @@
   StoreUsage unused;
   for (const auto& [node, peer] : peers_) {
     if (now - peer.at >= k::kStatusStaleMs) continue;
-    unused.requests += std::max(0.0, requests_.even - peer.use.requests);
-    unused.changes += std::max(0.0, changes_.even - peer.use.changes);
+    unused.requests_per_s += std::max(0.0, requests_.even - peer.use.requests_per_s);
+    unused.changes_per_s += std::max(0.0, changes_.even - peer.use.changes_per_s);
   }
-  requests_.refill(seconds, unused.requests * k::kBorrowedShare);
-  changes_.refill(seconds, unused.changes * k::kBorrowedShare);
+  requests_.refill(seconds, unused.requests_per_s * k::kBorrowedShare);
+  changes_.refill(seconds, unused.changes_per_s * k::kBorrowedShare);
 }
 
 // Users may run into debt up to what the others would have to leave unused: their changes are few,
--- a/src/state_store/rate_limiter.h
+++ b/src/state_store/rate_limiter.h
@@ -20,7 +20,9 @@
   void start(Ms now) { refilled_at_ = now; }
 
   /// What this controller takes of the limits, for its peers.
-  StoreUsage use() const { return {.requests = requests_.used, .changes = changes_.used}; }
+  StoreUsage use() const {
+    return {.requests_per_s = requests_.used, .changes_per_s = changes_.used};
+  }
   /// What a peer has said at `now` that it takes.
   void set_peer_use(const std::string& node, const StoreUsage& use, Ms now);
 
--- a/src/state_store/replicated_view.cc
+++ b/src/state_store/replicated_view.cc
@@ -171,7 +171,7 @@
   const auto job = view_.jobs.find(id);
   if (job == view_.jobs.end() || job->second.revision > revision) return;
   view_.jobs.erase(job);
-  view_.dependencies.close(id);
+  view_.dependencies.remove_job(id);
   // After changes were missed its record may be gone without a word of its end.
   if (view_.ready && !is_final(id) && view_.dependencies.is_prerequisite(id))
     unresolved_.insert(id);
@@ -198,7 +198,7 @@
 
 void ReplicatedView::open_dependent(JobSpec& spec, std::uint64_t revision) {
   std::vector<std::string> pending;
-  std::vector<DependencyGraph::End> ended;
+  std::vector<DependencyGraph::FinalRecord> ended;
   for (std::string& id : std::exchange(spec.prerequisites, {})) {
     const auto end = view_.finals.find(id);
     if (end != view_.finals.end()) {
@@ -208,7 +208,7 @@
     if (view_.ready && !is_open(id)) unresolved_.insert(id);
     pending.push_back(std::move(id));
   }
-  view_.dependencies.open(spec, revision, pending, ended);
+  view_.dependencies.add_job(spec, revision, pending, ended);
 }
 
 void ReplicatedView::publish(const DependencyGraph::Effects& effects) {
@@ -252,7 +252,8 @@
 
 // --------------------------------------------------------------------------- ends of jobs
 
-void ReplicatedView::remember_final(const std::string& id, const DependencyGraph::End& end) {
+void ReplicatedView::remember_final(const std::string& id,
+                                    const DependencyGraph::FinalRecord& end) {
   unresolved_.erase(id);
   if (!view_.finals.emplace(id, end).second) return;
   finished_.add({.id = id, .phase = end.phase, .revision = end.revision});
@@ -261,7 +262,7 @@
     view_.finals.erase(final_order_.front());
     final_order_.pop_front();
   }
-  view_.dependencies.end(id, end);
+  view_.dependencies.record_final(id, end);
   publish(view_.dependencies.take_effects());
 }
 
--- a/src/state_store/replicated_view.h
+++ b/src/state_store/replicated_view.h
@@ -85,7 +85,7 @@
   void close_job(const std::string& id, std::uint64_t revision, bool announce);
   void open_job(const std::string& id, const codec::StateRow& row, bool announce);
   void open_dependent(JobSpec& spec, std::uint64_t revision);
-  void remember_final(const std::string& id, const DependencyGraph::End& end);
+  void remember_final(const std::string& id, const DependencyGraph::FinalRecord& end);
   bool is_final(const std::string& id) const { return view_.finals.contains(id); }
   bool is_open(const std::string& id) const { return view_.jobs.contains(id); }
   bool is_orphaned(const std::string& job, const std::string& nonce, Ms seen) const;
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -206,7 +206,7 @@
   EXPECT_FALSE(status.hears_workers);
   ASSERT_EQ(status.partition_loads.size(), 1u);
   EXPECT_EQ(status.partition_loads[0].second.waiting_cpus, 3.5);
-  EXPECT_EQ(status.partition_loads[0].second.waited_s, 7);
+  EXPECT_EQ(status.partition_loads[0].second.longest_wait_s, 7);
   peer_rpc::PeerStatus now = status;
   now.features = constants::kFeatures;
   const auto again = peer_rpc::decode(peer_rpc::encode({"n0", now}));
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 using Ids = std::vector<std::string>;
-using End = DependencyGraph::End;
+using FinalRecord = DependencyGraph::FinalRecord;
 
 std::string id(int n) { return "run-" + std::to_string(n); }
 
@@ -21,36 +21,38 @@
   return spec;
 }
 
-End done(std::uint64_t revision = 50, Ms at = 5000) { return {JobPhase::done, revision, at}; }
-End cancelled() { return {JobPhase::cancelled, 60, 6000}; }
+FinalRecord done(std::uint64_t revision = 50, Ms at = 5000) {
+  return {JobPhase::done, revision, at};
+}
+FinalRecord cancelled() { return {JobPhase::cancelled, 60, 6000}; }
 
 class DependencyGraphTest : public testing::Test {
  protected:
-  void open(const JobSpec& spec, const Ids& pending) { graph.open(spec, 10, pending, {}); }
+  void open(const JobSpec& spec, const Ids& pending) { graph.add_job(spec, 10, pending, {}); }
   DependencyGraph graph;
 };
 
 TEST_F(DependencyGraphTest, JobIsReadyWhenItsLastPrerequisiteIsDone) {
   open(job(3), {id(1), id(2)});
-  EXPECT_TRUE(graph.waits(id(3)));
+  EXPECT_TRUE(graph.is_blocked(id(3)));
   EXPECT_EQ(graph.waiting_count(), 1);
-  graph.end(id(2), done(70, 7000));
+  graph.record_final(id(2), done(70, 7000));
   EXPECT_TRUE(graph.take_effects().ready.empty());
   EXPECT_EQ(graph.prerequisites_of(id(3), 5), Ids{id(1)});
-  graph.end(id(1), done(50, 5000));
+  graph.record_final(id(1), done(50, 5000));
   EXPECT_EQ(graph.take_effects().ready, Ids{id(3)});
-  EXPECT_FALSE(graph.waits(id(3)));
+  EXPECT_FALSE(graph.is_blocked(id(3)));
   EXPECT_EQ(graph.waiting_count(), 0);
   EXPECT_EQ(graph.readiness(id(3))->revision, 70u);
   EXPECT_EQ(graph.readiness(id(3))->at, 7000);
 }
 
 TEST_F(DependencyGraphTest, EndedPrerequisitesAreNotWaitedFor) {
-  graph.open(job(2), 10, {}, {done(5, 500), done(90, 9000)});
-  EXPECT_FALSE(graph.waits(id(2)));
+  graph.add_job(job(2), 10, {}, {done(5, 500), done(90, 9000)});
+  EXPECT_FALSE(graph.is_blocked(id(2)));
   EXPECT_EQ(graph.readiness(id(2))->revision, 90u);
-  graph.open(job(4), 10, {id(3)}, {cancelled()});
-  EXPECT_TRUE(graph.cancelled(id(4)));
+  graph.add_job(job(4), 10, {id(3)}, {cancelled()});
+  EXPECT_TRUE(graph.is_cancelled(id(4)));
 }
 
 TEST_F(DependencyGraphTest, CancellationPropagatesToAllTransitiveDependents) {
@@ -58,23 +60,23 @@
   open(job(3), {id(2)});
   open(job(4), {id(3), id(9)});
   open(job(5), {id(9)});
-  graph.end(id(1), cancelled());
+  graph.record_final(id(1), cancelled());
   const auto effects = graph.take_effects();
   EXPECT_EQ(std::set<std::string>(effects.cancelled.begin(), effects.cancelled.end()),
             (std::set<std::string>{id(2), id(3), id(4)}));
   EXPECT_TRUE(effects.ready.empty());
-  EXPECT_FALSE(graph.cancelled(id(5)));
+  EXPECT_FALSE(graph.is_cancelled(id(5)));
   open(job(6), {id(4)});  // submitted after that
-  EXPECT_TRUE(graph.cancelled(id(6)));
-  graph.end(id(9), done());
+  EXPECT_TRUE(graph.is_cancelled(id(6)));
+  graph.record_final(id(9), done());
   EXPECT_EQ(graph.take_effects().ready, Ids{id(5)});
-  for (int n : {2, 3, 4, 6}) graph.end(id(n), cancelled());
+  for (int n : {2, 3, 4, 6}) graph.record_final(id(n), cancelled());
   EXPECT_TRUE(graph.all_cancelled().empty());
 }
 
 TEST_F(DependencyGraphTest, CompletionCancelsNothing) {
   open(job(2), {id(1)});
-  graph.end(id(1), done());
+  graph.record_final(id(1), done());
   EXPECT_TRUE(graph.take_effects().cancelled.empty());
   EXPECT_TRUE(graph.all_cancelled().empty());
 }
@@ -97,9 +99,9 @@
   open(job(3, Priority::high), {id(2)});
   open(job(4, Priority::production), {id(2), id(8)});
   EXPECT_EQ(graph.urgency(id(1))->priority, Priority::production);
-  graph.end(id(8), cancelled());  // and 4 with it
+  graph.record_final(id(8), cancelled());  // and 4 with it
   EXPECT_EQ(graph.urgency(id(1))->priority, Priority::high);
-  graph.end(id(3), cancelled());
+  graph.record_final(id(3), cancelled());
   EXPECT_EQ(graph.urgency(id(1))->priority, Priority::best_effort);
 }
 
@@ -107,11 +109,11 @@
 TEST_F(DependencyGraphTest, DependentsOfAJobWithUnknownOutcomeKeepWaiting) {
   open(job(2), {id(1)});
   open(job(3), {id(2)});
-  graph.close(id(2));
-  EXPECT_TRUE(graph.waits(id(3)));
+  graph.remove_job(id(2));
+  EXPECT_TRUE(graph.is_blocked(id(3)));
   EXPECT_TRUE(graph.depends_on(id(3), {id(2)}));
   EXPECT_FALSE(graph.depends_on(id(3), {id(1)}));
-  graph.end(id(2), done());
+  graph.record_final(id(2), done());
   EXPECT_EQ(graph.take_effects().ready, Ids{id(3)});
   EXPECT_TRUE(graph.prerequisites().empty());
 }
@@ -119,10 +121,10 @@
 TEST_F(DependencyGraphTest, ChainOfThousandsPropagatesWithoutRecursion) {
   constexpr int kLength = 20000;
   for (int n = 2; n <= kLength; ++n) open(job(n, Priority::standard), {id(n - 1)});
-  EXPECT_LT(graph.steps(), 3u * kLength);  // nothing changes for those far before
-  graph.end(id(1), cancelled());
+  EXPECT_LT(graph.edges_visited(), 3u * kLength);  // nothing changes for those far before
+  graph.record_final(id(1), cancelled());
   EXPECT_EQ(graph.take_effects().cancelled.size(), static_cast<std::size_t>(kLength - 1));
-  EXPECT_LT(graph.steps(), 8u * kLength);
+  EXPECT_LT(graph.edges_visited(), 8u * kLength);
 }
 
 TEST_F(DependencyGraphTest, CostIsLinearInTheNumberOfEdges) {
@@ -131,11 +133,11 @@
   Ids all;
   for (int n = 2; n <= kMany; ++n) all.push_back(id(n));
   open(job(kMany + 1, Priority::high), all);
-  graph.end(id(1), done());
+  graph.record_final(id(1), done());
   EXPECT_EQ(graph.take_effects().ready.size(), static_cast<std::size_t>(kMany - 1));
-  for (int n = 2; n <= kMany; ++n) graph.end(id(n), done());
+  for (int n = 2; n <= kMany; ++n) graph.record_final(id(n), done());
   EXPECT_EQ(graph.take_effects().ready, Ids{id(kMany + 1)});
-  EXPECT_LT(graph.steps(), 10u * kMany);
+  EXPECT_LT(graph.edges_visited(), 10u * kMany);
 }
 
 }  // namespace
--- a/tests/scheduler/placement_test.cc
+++ b/tests/scheduler/placement_test.cc
@@ -237,16 +237,16 @@
 
 // What the leader hears of stated waits: the shortest among the arrays that the partition has.
 TEST_F(PartitionSchedulerPlacement, LoadIncludesTheShortestWaitObjective) {
-  EXPECT_EQ(partition.load(0).wait_s, 0);
+  EXPECT_EQ(partition.load(0).start_objective_s, 0);
   JobSpec spec = job("run-1");
   spec.jobclass = "prompt";
   spec.kind = JobKind::service;
   partition.open_job(spec, 11, false, {});
-  EXPECT_EQ(partition.load(0).wait_s, 0);
+  EXPECT_EQ(partition.load(0).start_objective_s, 0);
   spec.id = "run-2";
   spec.kind = JobKind::array;
   partition.open_job(spec, 12, false, {});
-  EXPECT_EQ(partition.load(0).wait_s, 60);
+  EXPECT_EQ(partition.load(0).start_objective_s, 60);
 }
 
 }  // namespace
--- a/tests/stored_messages_test.cc
+++ b/tests/stored_messages_test.cc
@@ -31,7 +31,7 @@
 auto fields(const PartitionLoad& n) {
   return std::tuple(
       std::tie(n.waiting_cpus, n.waiting_spot_cpus, n.waiting_service_cpus),
-      std::tie(n.waiting_core_s, n.slack_s, n.wait_s, n.waited_s, n.unschedulable),
+      std::tie(n.waiting_core_s, n.slack_s, n.start_objective_s, n.longest_wait_s, n.unschedulable),
       std::tie(n.used_cpus, n.used_service_cpus, n.total_cpus, n.spot_cpus),
       std::tie(n.idle_cpus, n.idle_spot_cpus, n.releasable_cpus, n.releasable_spot_cpus),
       n.idle_machines);
@@ -41,9 +41,9 @@
   std::vector<std::pair<int, decltype(fields(PartitionLoad{}))>> partitions;
   for (const auto& [partition, need] : m.partition_loads)
     partitions.emplace_back(partition, fields(need));
-  return std::tuple(partitions, m.use.requests, m.use.changes, m.hears_workers, m.features,
-                    m.conversion.has_value(), c.values_left, c.values_converted, c.unreadable,
-                    c.values_per_s);
+  return std::tuple(partitions, m.use.requests_per_s, m.use.changes_per_s, m.hears_workers,
+                    m.features, m.conversion.has_value(), c.values_left, c.values_converted,
+                    c.unreadable, c.values_per_s);
 }
 
 std::map<std::string, std::string> read_frames() {
