--- a/src/scheduler/partition_scheduler.cc
+++ b/src/scheduler/partition_scheduler.cc
@@ -371,13 +371,13 @@
 }
 
 std::uint64_t PartitionScheduler::steps() const {
-  return components_->jobs.steps() + components_->delays.steps() + components_->preemption.steps();
+return components_->jobs.steps() + components_->delays.machines_examined() + components_->preemption.jobs_examined();
 }
 
 std::size_t PartitionScheduler::numbered_image_count() const { return components_->images.size(); }
 
 std::uint64_t PartitionScheduler::take_preemptions() {
-  return components_->preemption.take_count();
+  return components_->preemption.take_preempted_count();
 }
 
 }  // namespace eiderreel
--- a/src/scheduler/task_bindings.cc
+++ b/src/scheduler/task_bindings.cc
@@ -23,7 +23,7 @@
   task.team = job.team;
   task.service = job.is_service();
   task.estimated_end = now + static_cast<Ms>(job.spec.estimate_s * 1000);
-  totals_.add_free(machine, -task.resources.cpus);
+  totals_.add_free_cpus(machine, -task.resources.cpus);
   machine.used += task.resources;
   if (task.service) {
     machine.service_cpus += task.resources.cpus;
@@ -32,7 +32,7 @@
   // The machine has the image cached or fetches it from now on, so it counts as cached when further
   // tasks with this image are placed.
   machine.images.insert(job.image);
-  teams_.take(job.team, task.resources);
+  teams_.add_usage(job.team, task.resources);
   if (job.tasks[index] == TaskState::queued) {
     job.tasks[index] = TaskState::bound;
     --job.queued;
@@ -56,7 +56,7 @@
   if (job) {
     task.resources = Resources::of(job->spec);
     task.team = job->team;
-    teams_.take(job->team, task.resources);
+    teams_.add_usage(job->team, task.resources);
   } else {
     machines_.add_unknown_tasks(machine, 1);
   }
@@ -76,8 +76,8 @@
     machine.used = {};
     machine.service_cpus = 0;
   }
-  totals_.add_free(machine, task.resources.cpus);
-  if (task.team) teams_.give_back(*task.team, task.resources);
+  totals_.add_free_cpus(machine, task.resources.cpus);
+  if (task.team) teams_.subtract_usage(*task.team, task.resources);
   if (!task.job) return;
   ScheduledJob& job = *task.job;
   --job.bound;
