--- a/src/observability/latency_histogram.cc
+++ b/src/observability/latency_histogram.cc
@@ -1,4 +1,4 @@
-// Latency histograms in the text format of Prometheus.
+// Latency histograms in the Prometheus text format.
 #include "observability/latency_histogram.h"
 
 #include <fmt/format.h>
--- a/src/observability/latency_histogram.h
+++ b/src/observability/latency_histogram.h
@@ -1,4 +1,4 @@
-// A histogram of latencies for /metrics.
+// Latency histograms for /metrics.
 #pragma once
 #include <boost/histogram.hpp>
 #include <string>
@@ -8,13 +8,14 @@
 
 namespace eiderreel {
 
-/// Latencies of one kind; the buckets grow by a constant factor.
+/// A histogram of latencies whose bucket widths grow by a constant factor.
 class LatencyHistogram {
  public:
   LatencyHistogram();
-  /// Counts one latency; below 1 ms it falls into the first bucket.
+  /// Adds one latency; a value below 1 ms is counted in the first bucket.
   void add(Ms latency);
-  /// The Prometheus lines of the histogram, in seconds; `labels` stand inside the braces.
+  /// Formats the histogram as Prometheus text, in seconds; `labels` is inserted between the braces
+  /// of each line.
   std::string text(const std::string& name, const std::string& labels) const;
 
  private:
--- a/src/observability/process_memory.cc
+++ b/src/observability/process_memory.cc
@@ -1,4 +1,4 @@
-// The memory of this process, as Linux tells it.
+// Reads the memory use of this process from /proc.
 #include "observability/process_memory.h"
 
 #include <unistd.h>
--- a/src/observability/process_memory.h
+++ b/src/observability/process_memory.h
@@ -1,10 +1,10 @@
-// The memory of this process, for /metrics and /status.
+// Memory use of this process, for /metrics and /status.
 #pragma once
 #include <cstddef>
 
 namespace eiderreel {
 
-/// Bytes of memory that the process holds (its resident set); 0: the system does not tell.
+/// The resident set size of this process in bytes; 0 if /proc cannot be read.
 std::size_t resident_bytes();
 
 }  // namespace eiderreel
--- a/src/runtime/http_status.h
+++ b/src/runtime/http_status.h
@@ -1,10 +1,10 @@
-// The HTTP status codes that the protocol uses.
+// HTTP status codes of the protocols that eiderreel speaks.
 #pragma once
 
 /// HTTP status codes by name.
 namespace eiderreel::http_status {
 
-/// Not a status of HTTP: no answer came. The request may have been carried out, or still may be.
+/// Not an HTTP status: no reply arrived. The request may have been executed, or may still be.
 inline constexpr int kNoAnswer = 0;
 inline constexpr int kOk = 200;
 inline constexpr int kCreated = 201;
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -1,4 +1,5 @@
-// What actors need of the world. The daemon provides it over libevent; tests simulate it.
+// Interface to clocks, timers, randomness and the network. The daemon implements it with libevent,
+// tests with a simulation.
 #pragma once
 #include <functional>
 #include <string>
@@ -7,9 +8,9 @@
 
 namespace eiderreel {
 
-/// The answer to an HTTP request.
+/// The reply to an HTTP request.
 struct HttpReply {
-  /// HTTP status; 0 if there was no answer: the request may have been carried out, or still may be.
+  /// HTTP status; 0 if there was no reply: the request may have been executed, or may still be.
   int status = 0;
   std::string body;
 };
@@ -18,13 +19,13 @@
 struct HttpRequest {
   std::string addr;  ///< IP:PORT.
   std::string method;
-  std::string path;  ///< With its query part.
+  std::string path;  ///< Includes the query string.
   std::string body;
   Ms timeout = 0;
-  bool once = false;  ///< Close the connection afterwards instead of keeping it.
+  bool once = false;  ///< Close the connection after the reply instead of keeping it alive.
 };
 
-/// Clocks, timers, randomness and the network. All callbacks run in one thread, that of the loop.
+/// Clocks, timers, randomness and the network. All callbacks run on the event loop thread.
 class Runtime {
  public:
   Runtime() = default;
@@ -34,24 +35,25 @@
   Runtime(Runtime&&) = delete;
   Runtime& operator=(Runtime&&) = delete;
 
-  /// The steady clock, for durations.
+  /// The steady clock in milliseconds, for measuring durations.
   virtual Ms now() const = 0;
-  /// The wall clock, since the epoch; nodes differ by up to the settings' skew_ms.
+  /// The wall clock in milliseconds since the epoch; the clocks of two nodes may differ by up to
+  /// the setting skew_ms.
   virtual Ms wall() const = 0;
   /// A random number in [0, 1).
   virtual double random() = 0;
-  /// A name of this start of the process; no two starts share one.
+  /// An ID that is unique for each start of the process.
   virtual std::string boot_id() const = 0;
-  /// Calls back once, after the delay.
+  /// Calls `callback` once, after `delay`.
   virtual void after(Ms delay, std::function<void()> callback) = 0;
-  /// Sends an HTTP request; `done` gets the answer, or status 0 after the timeout or a failure.
+  /// Sends an HTTP request; `done` receives the reply, or status 0 after the timeout or a failure.
   virtual void http(HttpRequest request, std::function<void(HttpReply)> done) = 0;
-  /// Sends a message to another controller: best effort, in order while a link lasts; a loss is not
-  /// reported.
+  /// Sends a message to another controller. Best effort: messages arrive in order as long as the
+  /// connection lasts, and a lost message is not reported.
   virtual void send(const std::string& node, const std::string& bytes) = 0;
 };
 
-/// Answers a request that an actor was given.
+/// Callback that sends the HTTP reply to a received request.
 using Reply = std::function<void(int status, std::string body)>;
 
 }  // namespace eiderreel
--- a/src/state_store/cluster_view.h
+++ b/src/state_store/cluster_view.h
@@ -1,4 +1,4 @@
-// What a controller knows of the cluster: the followed keys of the state store, by their kind.
+// A controller's view of the cluster: the watched keys of the state store, grouped by kind.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,44 +14,44 @@
 
 namespace eiderreel {
 
-/// What the followed keys say. Read by the other actors, changed by the state store client alone.
-/// The revision of an entry is that of the last change of its key.
+/// The decoded values of the watched keys. Other components only read it; the state store client is
+/// its only writer. The revision of an entry is the store revision of the last change of its key.
 struct ClusterView {
-  /// A partition that is led.
+  /// A partition that has a leader.
   struct PartitionEntry {
     std::string leader;
     std::uint64_t revision = 0;
     std::uint64_t lease_id = 0;
   };
-  /// A machine that belongs to a partition, or is to be returned.
+  /// A machine that is assigned to a partition or is about to be returned to the cloud.
   struct MachineEntry {
     codec::MachineRecord record;
     std::uint64_t revision = 0;
   };
-  /// A controller whose lease is alive.
+  /// A controller whose lease has not expired.
   struct NodeEntry {
     codec::NodeRecord record;
     std::uint64_t revision = 0;
-    Ms seen = 0;  // since when it has been there under this lease, by our clock
+    Ms seen = 0;  // when its record under this lease first appeared, on the local steady clock
   };
   /// An open job.
   struct JobEntry {
-    JobSpec spec;  // its prerequisites are kept by the dependency graph alone
+    JobSpec spec;  // without its prerequisites, which only the dependency graph stores
     std::uint64_t revision = 0;
-    std::string nonce;  // of its record
+    std::string nonce;  // of the job's record
   };
 
-  bool ready = false;                // every key has been loaded
-  std::uint64_t store_revision = 0;  // all changes up to here are in
+  bool ready = false;                // all watched keys have been loaded
+  std::uint64_t store_revision = 0;  // all changes up to this revision are applied
   std::map<int, PartitionEntry> partitions;
   std::map<std::string, MachineEntry> machines;
   std::map<std::string, NodeEntry> nodes;
   std::unordered_map<std::string, JobEntry> jobs;
-  upgrade::ClusterState cluster;  // followed where cluster versions are enabled
-  std::optional<codec::VersionRecord> version_record;  // the step that led there
-  DependencyGraph dependencies;                        // of the open jobs that have prerequisites
-  // Ends of jobs, the most recent ones. Of a job that is missing here, the end is read from the
-  // state store; it is never assumed that there is none.
+  upgrade::ClusterState cluster;                       // kept only if cluster versions are enabled
+  std::optional<codec::VersionRecord> version_record;  // the record of the last version change
+  DependencyGraph dependencies;                        // open jobs that have prerequisites
+  // Final states of the most recently ended jobs. A job that is missing from this map may still
+  // have ended: its final record must be read from the state store.
   std::unordered_map<std::string, DependencyGraph::End> finals;
 };
 
--- a/src/state_store/compare_and_swap.cc
+++ b/src/state_store/compare_and_swap.cc
@@ -1,4 +1,4 @@
-// The names of the outcomes of a transaction.
+// Names of transaction outcomes.
 #include "state_store/compare_and_swap.h"
 
 namespace eiderreel {
--- a/src/state_store/compare_and_swap.h
+++ b/src/state_store/compare_and_swap.h
@@ -1,4 +1,4 @@
-// A transaction at the state store, and what can come of it.
+// A compare-and-swap transaction of the state store and its possible outcomes.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -11,39 +11,43 @@
 
 namespace eiderreel {
 
-/// What has become of a transaction.
+/// The outcome of a transaction.
 enum class CasOutcome {
-  ok,          // it is durable
-  conflict,    // a precondition failed: nothing was done, and nothing will be
-  superseded,  // a precondition on an absent key failed after a try without answer: somebody else's
-               // write stands there, but that try may still land once the key is gone
-  refused,     // nothing was done
-  unknown,     // it may have been done, or may still be
+  ok,          // committed and durable
+  conflict,    // a precondition failed; the transaction was not and will not be executed
+  superseded,  // an earlier attempt got no reply, and then the precondition that a key is absent
+               // failed because of another writer's value; the earlier attempt may still be
+               // executed once that key is deleted
+  refused,  // not executed
+  unknown,  // it may have been executed, or may still be
 };
 
-/// The name of the outcome, for messages.
+/// The name of the outcome, for log messages.
 std::string to_string(CasOutcome outcome);
 
-/// How a transaction is bound to the cluster version that its controller acts under, see
+/// How a transaction is bound to the cluster version under which its controller acts; see
 /// upgrade::ActingVersion.
 enum class VersionBinding {
-  current,           // to the one at its sending; after a change of version it is sent again
-  as_encoded,        // its values depend on the version, so it is never sent under another
-  by_preconditions,  // it has all the preconditions that it needs, so none is added
+  current,     // to the version when it is sent; retried after a version change
+  as_encoded,  // to the version under which its values were encoded; refused under another one
+  by_preconditions,  // only by its own preconditions; none is added
 };
 
-/// A transaction: writes that take effect together, if every precondition holds.
+/// A transaction: writes that are applied atomically if every precondition holds.
 struct CompareAndSwap {
   std::vector<codec::Precondition> preconditions;
-  /// The first one puts a value with the nonce of this transaction, by which it is recognized.
+  /// The first write puts a value that contains the nonce of this transaction, so that reading its
+  /// key back shows whether this transaction wrote the value.
   std::vector<codec::Write> writes;
   std::string nonce;
   RequestPriority request_priority = RequestPriority::user;
   int tries = constants::kCommitTries;
-  /// Called once. `store_revision` is that of the writes where the outcome is `ok`, otherwise 0.
+  /// Called exactly once. `store_revision` is the revision of the writes if the outcome is `ok`,
+  /// otherwise 0.
   std::function<void(CasOutcome, std::uint64_t store_revision)> done;
-  /// An earlier try of it is without answer. A later try that is refused says nothing of that one,
-  /// so whoever tries again after `unknown` sends this same transaction with its doubt kept.
+  /// An earlier attempt got no conclusive reply and may have been executed. The refusal of a later
+  /// attempt does not settle the earlier one, so a caller that retries after `unknown` must submit
+  /// the same transaction with this flag still set.
   bool doubt = false;
   VersionBinding binding = VersionBinding::current;
 };
--- a/src/state_store/compare_and_swapper.cc
+++ b/src/state_store/compare_and_swapper.cc
@@ -1,4 +1,5 @@
-// Carries out transactions: bound to a version, tried again, in doubt until there is proof.
+// Executes compare-and-swap transactions: binds them to the cluster version, retries them and
+// resolves uncertain outcomes.
 #include "state_store/compare_and_swapper.h"
 
 #include <algorithm>
@@ -22,14 +23,15 @@
   attempt(swap);
 }
 
-// ------------------------------------------------------------------------------- one try
+// ------------------------------------------------------------------------------- attempts
 
 bool CompareAndSwapper::is_bound(const Swap& swap) const {
   return dependencies_.acting_version.enabled() &&
          swap.transaction.binding != VersionBinding::by_preconditions;
 }
 
-// Invariant 13: the record of this controller names the version that it acts under.
+// Invariant 13: the node record of this controller contains the version under which it acts, so a
+// precondition on the revision of that record binds a transaction to the version.
 codec::Precondition CompareAndSwapper::version_precondition(const Swap& swap) const {
   const bool as_encoded = swap.transaction.binding == VersionBinding::as_encoded;
   return {
@@ -89,7 +91,8 @@
     on_version_changed(swap, version_guard->revision);
     return;
   }
-  // Invariant 8: an earlier try of ours may be what the preconditions met.
+  // Invariant 8: the precondition may have failed because an earlier attempt of this transaction
+  // was executed.
   if (swap->transaction.doubt) {
     swap->conflict_revision = codec::parse_store_revision(reply.body).value_or(0);
     swap->reads_left = k::kCommitTries;
@@ -106,8 +109,8 @@
 
 // ------------------------------------------------------------------------- version binding
 
-// There is no record of this controller to bind a write to, so none is sent. An earlier try may
-// still have landed.
+// Sends no further attempt, because this controller has no valid node record to which the
+// transaction could be bound. An earlier attempt may still have been executed.
 void CompareAndSwapper::end_without_record(const SwapPtr& swap) {
   const bool doubt = swap->transaction.doubt;
   if (doubt && swap->tries_left > 1) {
@@ -118,9 +121,9 @@
   dependencies_.runtime.after(0, [swap, outcome] { swap->transaction.done(outcome, 0); });
 }
 
-// Invariant 13: the record that the transaction was bound to is no longer there, and all else is as
-// the transaction asks. No try of it has landed, since that would have changed what it compares,
-// and none can any more.
+// Invariant 13: only the version precondition failed, so the node record to which the transaction
+// was bound has been replaced. No attempt has been executed, since that would have made the other
+// preconditions fail too, and none can be executed any more.
 void CompareAndSwapper::on_version_changed(const SwapPtr& swap, std::uint64_t guard_revision) {
   CompareAndSwap& transaction = swap->transaction;
   transaction.doubt = false;
@@ -132,9 +135,11 @@
   retry(swap, learnt ? 0 : k::kVersionRetryMs);
 }
 
-// ------------------------------------------------------------------------- settling doubts
+// ------------------------------------------------------------------------- resolving in-doubt
+// transactions
 
-// The preconditions failed after a try without answer, so it is read whose write stands there.
+// The preconditions failed after an attempt with an unknown outcome: reads the first written key to
+// find out whether that attempt wrote its value.
 void CompareAndSwapper::read_back(const SwapPtr& swap) {
   const std::string& key = swap->transaction.writes.front().key;
   dependencies_.reader.read(key, [this, swap](const StoreResult<codec::StateRow>& row) {
@@ -149,8 +154,8 @@
   });
 }
 
-// Revisions only grow, so a try with preconditions on revisions can land no more; one with a
-// precondition on the absence of a key can.
+// Revisions only grow, so an earlier attempt with preconditions on revisions can no longer be
+// executed. One with a precondition on the absence of a key can, once that key is deleted.
 void CompareAndSwapper::on_read_back(const SwapPtr& swap, const codec::StateRow& row) {
   const CompareAndSwap& transaction = swap->transaction;
   if (row.revision != 0 && row.nonce == transaction.nonce) {
@@ -166,7 +171,8 @@
     transaction.done(CasOutcome::superseded, 0);
     return;
   }
-  // Our write may have stood there for a while; the replica knows of it before the caller acts.
+  // The write of this transaction may have been applied and overwritten since. The caller is
+  // notified only after the replica has applied all changes up to the conflict.
   dependencies_.waiters.when_applied(swap->conflict_revision,
                                      [swap] { swap->transaction.done(CasOutcome::conflict, 0); });
 }
--- a/src/state_store/compare_and_swapper.h
+++ b/src/state_store/compare_and_swapper.h
@@ -1,4 +1,5 @@
-// Carries out transactions: bound to a version, tried again, in doubt until there is proof.
+// Executes compare-and-swap transactions: binds them to the cluster version, retries them and
+// resolves uncertain outcomes.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -19,11 +20,11 @@
 
 namespace eiderreel {
 
-/// Sends transactions until their outcome is known or their tries are used up. What was committed
-/// is in the replica before the caller hears of it.
+/// Sends transactions until their outcome is known or their attempts are used up. Committed writes
+/// are applied to the replica before the caller is notified.
 class CompareAndSwapper {
  public:
-  /// What it works with; all of it outlives it.
+  /// References to the collaborators, which must outlive this object.
   struct Dependencies {
     Runtime& runtime;
     const Settings& settings;
@@ -37,16 +38,16 @@
   };
   explicit CompareAndSwapper(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
-  /// Carries out the transaction, and calls its `done` once.
+  /// Executes the transaction and calls its `done` exactly once.
   void submit(CompareAndSwap transaction);
 
  private:
   struct Swap {
     CompareAndSwap transaction;
-    int tries_left = 0;                   // with the one that is under way
-    std::uint64_t encoded_under = 0;      // revision of the controller's record, see `as_encoded`
-    int reads_left = 0;                   // of the reads that settle a doubt
-    std::uint64_t conflict_revision = 0;  // the store's revision when a precondition failed
+    int tries_left = 0;               // including the attempt in progress
+    std::uint64_t encoded_under = 0;  // revision of the node record at submission; see `as_encoded`
+    int reads_left = 0;               // attempts left to read back an in-doubt write
+    std::uint64_t conflict_revision = 0;  // store revision at which a precondition failed
   };
   using SwapPtr = std::shared_ptr<Swap>;
 
--- a/src/state_store/controller_lease.cc
+++ b/src/state_store/controller_lease.cc
@@ -1,4 +1,4 @@
-// Acquires, renews and loses this controller's lease.
+// Acquires and renews this controller's lease and detects its expiry.
 #include "state_store/controller_lease.h"
 
 #include <spdlog/spdlog.h>
@@ -13,8 +13,8 @@
 
 namespace {
 
-// Invariant 6: a lease is counted from the sending of the request that gave it its time, less the
-// drift of the clocks, and it is given up a margin early.
+// Invariant 6: the validity of a lease counts from when the request that granted or renewed it was
+// sent, shortened by the maximum clock drift and a safety margin.
 Ms valid_until(Ms sent) {
   return sent + static_cast<Ms>(k::kLeaseTtlMs * (1 - k::kDrift)) - k::kLeaseMarginMs;
 }
@@ -38,7 +38,7 @@
     request_lease();
 }
 
-// The lease that an earlier process of this node has left behind; 0: there is none.
+// The lease ID of an earlier process of this node, from its node record; 0 if there is none.
 std::uint64_t ControllerLease::earlier_lease() const {
   const auto& nodes = replica_.view().nodes;
   const auto node = nodes.find(settings_.node);
@@ -46,7 +46,8 @@
   return node->second.record.lease_id;
 }
 
-// That process has ended, so its lease only keeps our partitions from being claimed.
+// The earlier process has ended; until its lease expires, no controller can claim the partitions
+// bound to it.
 void ControllerLease::revoke_earlier(std::uint64_t lease_id) {
   spdlog::info("lease revoked node={} lease={} reason=earlier-process", settings_.node, lease_id);
   requests_.submit({.method = "DELETE",
@@ -103,7 +104,7 @@
     valid_until_ = valid_until(sent);
   else if (status == http_status::kNotFound)
     lose();
-  else  // renewed again after a short pause, and not after a whole interval
+  else  // retry the renewal after kRetryMs instead of a whole renewal interval
     last_renewal_ = runtime_.now() - k::kLeaseRenewEveryMs + k::kRetryMs;
 }
 
--- a/src/state_store/controller_lease.h
+++ b/src/state_store/controller_lease.h
@@ -1,4 +1,4 @@
-// This controller's lease at the state store.
+// This controller's lease in the state store.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -12,21 +12,22 @@
 
 namespace eiderreel {
 
-/// Acquires this controller's lease, renews it, and tells when it is lost. The keys bound to it,
-/// such as its partitions, are removed when it ends.
+/// Acquires and renews this controller's lease and reports its loss. The state store deletes the
+/// keys bound to a lease, such as partition claims, when the lease ends.
 class ControllerLease {
  public:
   ControllerLease(Runtime& runtime, const Settings& settings, RequestQueue& requests,
                   ReplicatedView& replica)
       : runtime_(runtime), settings_(settings), requests_(requests), replica_(replica) {}
-  /// `lost` is called each time the state store says that the lease has ended.
+  /// Sets the callback that is called each time the state store reports that the lease has ended.
   void start(std::function<void()> lost) { on_lost_ = std::move(lost); }
-  /// Acquires the lease or renews it, when that is due.
+  /// Acquires the lease if there is none, or renews it when that is due.
   void tick();
 
-  /// 0: there is none.
+  /// The lease ID; 0 if there is no lease.
   std::uint64_t id() const { return id_; }
-  /// Invariant 6: counted from the sending of the last good renewal, less drift.
+  /// Invariant 6: whether the lease is still valid, counted from when the last successful renewal
+  /// was sent, less clock drift and a safety margin.
   bool alive() const { return id_ != 0 && runtime_.now() < valid_until_; }
 
  private:
@@ -45,7 +46,7 @@
   std::function<void()> on_lost_;
   std::uint64_t id_ = 0;
   Ms valid_until_ = 0;
-  Ms last_renewal_ = 0;  // when it was sent
+  Ms last_renewal_ = 0;  // when the last renewal request was sent
   bool acquiring_ = false;
   bool renewing_ = false;
 };
--- a/src/state_store/finished_jobs.cc
+++ b/src/state_store/finished_jobs.cc
@@ -1,4 +1,4 @@
-// The history of the jobs that have ended, which a controller hands over with its vote.
+// The history of recently ended jobs, which a controller sends along with its leadership vote.
 #include "state_store/finished_jobs.h"
 
 #include <algorithm>
--- a/src/state_store/finished_jobs.h
+++ b/src/state_store/finished_jobs.h
@@ -1,4 +1,4 @@
-// The history of the jobs that have ended, which a controller hands over with its vote.
+// The history of recently ended jobs, which a controller sends along with its leadership vote.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -9,20 +9,20 @@
 
 namespace eiderreel {
 
-/// The jobs that ended lately, at most constants::kFinishedKept of them, in the order in which this
-/// node learnt of them.
+/// The most recently ended jobs, at most constants::kFinishedKept, in the order in which this node
+/// received their final records.
 class FinishedJobs {
  public:
-  /// Forgets all. From now on it is complete for the jobs that end after `store_revision`.
+  /// Clears the history. From then on it is complete for jobs that end after `store_revision`.
   void restart(std::uint64_t store_revision);
-  /// A job has ended.
+  /// Adds an ended job, and drops the oldest one beyond the limit.
   void add(FinishedJob job);
-  /// All jobs that ended after `store_revision`; nullopt when some of them may be missing.
+  /// All jobs that ended after `store_revision`, or nullopt if some of them may be missing.
   std::optional<std::vector<FinishedJob>> since(std::uint64_t store_revision) const;
 
  private:
   std::deque<FinishedJob> jobs_;
-  std::uint64_t complete_from_ = 0;  // complete for all that ended after this revision
+  std::uint64_t complete_from_ = 0;  // complete for jobs that ended after this revision
 };
 
 }  // namespace eiderreel
--- a/src/state_store/followed_keys.h
+++ b/src/state_store/followed_keys.h
@@ -1,13 +1,13 @@
-// The prefixes of the keys that every controller follows.
+// Prefixes of the keys that every controller watches.
 #pragma once
 #include <string>
 #include <string_view>
 
 namespace eiderreel::followed_keys {
 
-/// All followed keys begin with this.
+/// The common prefix of all watched keys.
 inline constexpr std::string_view kAll = "e/";
-/// Prerequisites that do not fit into the record of their job.
+/// Chunks of prerequisite lists that do not fit into the record of their job.
 inline constexpr std::string_view kPrerequisiteChunks = "e/awaits/";
 inline constexpr std::string_view kFinals = "e/final/";
 inline constexpr std::string_view kJobs = "e/job/";
@@ -15,7 +15,6 @@
 inline constexpr std::string_view kNodes = "e/node/";
 inline constexpr std::string_view kPartitions = "e/part/";
 
-/// Whether the key begins with the prefix.
 inline bool is_under(const std::string& key, std::string_view prefix) {
   return key.starts_with(prefix);
 }
--- a/src/state_store/node_record_writer.cc
+++ b/src/state_store/node_record_writer.cc
@@ -1,4 +1,4 @@
-// Writes this controller's own record, which says that it is there.
+// Writes this controller's node record, which announces that the controller is alive.
 #include "state_store/node_record_writer.h"
 
 #include <spdlog/spdlog.h>
@@ -49,9 +49,9 @@
   return record;
 }
 
-// Where versions are enabled the record names the durable version as it is at that moment, and
-// replaces just the record that was known; so no late copy of an older one can bring back an older
-// version.
+// If versions are enabled, the write requires that the durable version is unchanged and that the
+// record it replaces is the one in the replica. A delayed duplicate of an earlier write therefore
+// cannot restore an older version.
 std::vector<codec::Precondition> NodeRecordWriter::preconditions() const {
   if (!dependencies_.acting_version.enabled()) return {};
   const ClusterView& view = dependencies_.replica.view();
--- a/src/state_store/node_record_writer.h
+++ b/src/state_store/node_record_writer.h
@@ -1,4 +1,4 @@
-// Writes this controller's own record, which says that it is there.
+// Writes this controller's node record, which announces that the controller is alive.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -14,12 +14,12 @@
 
 namespace eiderreel {
 
-/// Writes a record, bound to the lease, that says that this controller is there and which cluster
-/// version it acts under from now on. It is written once for each lease, and again for each change
-/// of the version.
+/// Writes the node record of this controller: a lease-bound key that announces the controller and
+/// the cluster version under which it acts from then on. It is written once for each lease and
+/// again after each change of the version.
 class NodeRecordWriter {
  public:
-  /// What it works with; all of it outlives it.
+  /// References to the collaborators, which must outlive this object.
   struct Dependencies {
     Runtime& runtime;
     const Settings& settings;
@@ -31,7 +31,7 @@
   };
   explicit NodeRecordWriter(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
-  /// Writes the record if that is due.
+  /// Writes the record if it is missing for the current lease or names an outdated version.
   void tick();
 
  private:
@@ -42,7 +42,7 @@
   void on_written(const codec::NodeRecord& record, CasOutcome outcome, std::uint64_t revision);
 
   Dependencies dependencies_;
-  std::uint64_t written_lease_id_ = 0;  // the lease for which the record was written last
+  std::uint64_t written_lease_id_ = 0;  // the lease to which the last written record is bound
   bool writing_ = false;
 };
 
--- a/src/state_store/nonce_source.h
+++ b/src/state_store/nonce_source.h
@@ -1,18 +1,18 @@
-// Nonces: marks that tell the values of one transaction from those of any other.
+// Generates nonces, which identify the values written by one transaction.
 #pragma once
 #include <cstdint>
 #include <string>
 
 namespace eiderreel {
 
-/// Hands out strings that no other process, and no other call, ever gets.
+/// Generates strings that are unique across all processes and calls.
 class NonceSource {
  public:
-  /// `boot_id` differs for every start of a process of `node`.
+  /// `boot_id` must be unique for each start of a process of `node`.
   NonceSource(const std::string& node, const std::string& boot_id)
       : prefix_(node + "." + boot_id + ".") {}
 
-  /// The next nonce.
+  /// Returns a nonce that was never returned before.
   std::string next() { return prefix_ + std::to_string(++count_); }
 
  private:
--- a/src/state_store/prerequisite_chunks.cc
+++ b/src/state_store/prerequisite_chunks.cc
@@ -1,4 +1,4 @@
-// The prerequisites of jobs that name more of them than fit into their records.
+// Prerequisite lists that are too long to fit into the record of their job.
 #include "state_store/prerequisite_chunks.h"
 
 namespace eiderreel {
--- a/src/state_store/prerequisite_chunks.h
+++ b/src/state_store/prerequisite_chunks.h
@@ -1,4 +1,4 @@
-// The prerequisites of jobs that name more of them than fit into their records.
+// Prerequisite lists that are too long to fit into the record of their job.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -13,31 +13,33 @@
 
 namespace eiderreel {
 
-/// Keeps the chunks of prerequisites that stand in keys of their own. The nonce in a key is that of
-/// the job's record, so that chunks of another try are never taken for its own.
+/// Stores the chunks of prerequisite lists, each of which has a key of its own in the state store.
+/// The nonce in the key equals that of the job's record, so chunks written by another submission
+/// attempt of the same job are never used for it.
 class PrerequisiteChunks {
  public:
-  /// Whether a chunk is orphaned, by its job, the nonce of its key, and since when it is here.
+  /// Decides whether a chunk is orphaned, given its job, the nonce in its key, and when this node
+  /// first received it.
   using IsOrphaned = std::function<bool(const std::string& job, const std::string& nonce, Ms seen)>;
 
-  /// A chunk is there at `now`. What it holds is not kept yet.
+  /// Records that a chunk exists, first received at `now`, without storing its content.
   void note(const codec::PrerequisiteChunkKey& key, Ms now);
-  /// Keeps what a chunk holds.
+  /// Stores the content of a chunk.
   void set_jobs(const codec::PrerequisiteChunkKey& key, std::vector<std::string> jobs);
-  /// The chunk is gone.
+  /// Removes a chunk that was deleted from the state store.
   void erase(const codec::PrerequisiteChunkKey& key);
-  /// Takes the prerequisites in all `count` chunks of a job's record, in their order. The chunks
-  /// stay known, without their content. nullopt: some of them are not here yet.
+  /// Moves out the prerequisites of all `count` chunks of a job's record, in order. The keys of the
+  /// chunks are kept, without their content. Returns nullopt if some chunks have not arrived yet.
   std::optional<std::vector<std::string>> take(const std::string& job, const std::string& nonce,
                                                std::size_t count);
 
   /// The keys of all chunks.
   std::vector<std::string> keys() const;
-  /// The keys of the first `most` orphaned chunks. A job's last chunk comes first.
+  /// The keys of at most `max_count` orphaned chunks. The chunks of a job are listed last to first.
   std::vector<std::string> orphaned(std::size_t most, const IsOrphaned& is_orphaned) const;
 
  private:
-  using ListKey = std::pair<std::string, std::string>;  // job and nonce
+  using ListKey = std::pair<std::string, std::string>;  // job ID and nonce of its record
   struct Chunk {
     std::vector<std::string> jobs;
     Ms seen = 0;
--- a/src/state_store/prerequisite_resolver.cc
+++ b/src/state_store/prerequisite_resolver.cc
@@ -1,10 +1,10 @@
-// Reads the ends of jobs that open jobs wait for, where no change will tell of them.
+// Reads the final records of prerequisites that the watch will not deliver.
 #include "state_store/prerequisite_resolver.h"
 
 namespace eiderreel {
 
-// A prerequisite may be unresolved only because a change was not followed yet, so the read waits
-// for a moment.
+// The read is delayed by kRetryMs, since a prerequisite may be unresolved only because a change has
+// not been received yet.
 void PrerequisiteResolver::tick() {
   const auto& unresolved = replica_.unresolved();
   const Ms now = runtime_.now();
@@ -14,7 +14,7 @@
   }
   if (now < read_at_) return;
   reading_ = true;
-  // What could not be read is still unresolved, so a later tick reads it again.
+  // Prerequisites that could not be read stay unresolved, so a later tick retries them.
   reader_.read_ends({unresolved.begin(), unresolved.end()},
                     [this](const StoreResult<void>&) { reading_ = false; });
 }
--- a/src/state_store/prerequisite_resolver.h
+++ b/src/state_store/prerequisite_resolver.h
@@ -1,4 +1,4 @@
-// Reads the ends of jobs that open jobs wait for, where no change will tell of them.
+// Reads the final records of prerequisites that the watch will not deliver.
 #pragma once
 #include "constants.h"
 #include "runtime/runtime.h"
@@ -7,14 +7,14 @@
 
 namespace eiderreel {
 
-/// Reads the final records of the prerequisites of which the replica knows nothing. They may have
-/// been written before it began to follow the state store.
+/// Reads the final records of prerequisites that have neither an open nor a final record in the
+/// replica. Their final records may have been written before the replica began to watch the store.
 class PrerequisiteResolver {
  public:
   PrerequisiteResolver(Runtime& runtime, const ReplicatedView& replica, StoreReader& reader)
       : runtime_(runtime), replica_(replica), reader_(reader) {}
 
-  /// Begins to read if anything is unresolved.
+  /// Starts a read if any prerequisite is unresolved and no read is in progress.
   void tick();
 
  private:
@@ -22,7 +22,7 @@
   const ReplicatedView& replica_;
   StoreReader& reader_;
   bool reading_ = false;
-  Ms read_at_ = 0;  // not before
+  Ms read_at_ = 0;  // earliest time of the next read
 };
 
 }  // namespace eiderreel
--- a/src/state_store/rate_limiter.cc
+++ b/src/state_store/rate_limiter.cc
@@ -1,4 +1,4 @@
-// Token buckets over this controller's part of the state store's limits.
+// Token buckets for this controller's share of the state store's rate limits.
 #include "state_store/rate_limiter.h"
 
 #include <algorithm>
@@ -36,8 +36,9 @@
   peers_[node] = {.at = now, .use = use};
 }
 
-// A controller that is not heard of may use all of its part. Of what the others leave, an even
-// share is ours: so two that are in need together do not both take the whole.
+// A peer without a recent status counts as using its whole share. Of the unused shares of the
+// others, this controller borrows the fraction kBorrowedShare, so that two busy controllers do not
+// both borrow all of it.
 void RateLimiter::refill(Ms now) {
   const double seconds = static_cast<double>(now - refilled_at_) / 1000.0;
   refilled_at_ = now;
@@ -51,8 +52,8 @@
   changes_.refill(seconds, unused.changes * k::kBorrowedShare);
 }
 
-// Users may run into debt up to what the others would have to leave unused: their changes are few,
-// and a refusal by the state store itself costs one more try.
+// User requests may overdraw the bucket by the shares of all other controllers: they contain few
+// changes, and a refusal by the state store itself costs only one more attempt.
 bool RateLimiter::allows(RequestPriority request_priority, int changes) const {
   if (request_priority == RequestPriority::urgent) return true;
   const double debt = request_priority == RequestPriority::user ? 1 : 0;
--- a/src/state_store/rate_limiter.h
+++ b/src/state_store/rate_limiter.h
@@ -1,5 +1,6 @@
-// How much this controller may ask of the state store, whose limits all controllers share: an
-// even part for each, and half of what the others say that they leave of theirs.
+// Limits the rate of this controller's requests to the state store. All controllers share the
+// store's limits: each has an even share, and borrows half of what its peers report as unused of
+// theirs.
 #pragma once
 #include <map>
 #include <string>
@@ -11,35 +12,35 @@
 
 namespace eiderreel {
 
-/// Decides which requests to the state store may go now. One token bucket counts requests, another
-/// one the puts and deletes in them.
+/// Decides whether a request may be sent to the state store now. One token bucket counts requests,
+/// another one the puts and deletes in them.
 class RateLimiter {
  public:
   explicit RateLimiter(const Settings& settings);
-  /// Begins to count time at `now`.
+  /// Starts the refill clock at `now`.
   void start(Ms now) { refilled_at_ = now; }
 
-  /// What this controller takes of the limits, for its peers.
+  /// The rates that this controller uses, to be reported to its peers.
   StoreUsage use() const { return {.requests = requests_.used, .changes = changes_.used}; }
-  /// What a peer has said at `now` that it takes.
+  /// Stores the rates that a peer reported at `now`.
   void set_peer_use(const std::string& node, const StoreUsage& use, Ms now);
 
-  /// Adds what has accrued since the last call.
+  /// Adds the tokens that have accrued since the last call.
   void refill(Ms now);
-  /// Whether a request with so many changes may go now.
+  /// Whether a request with `changes` puts and deletes may be sent now.
   bool allows(RequestPriority request_priority, int changes) const;
-  /// Counts a request that goes now.
+  /// Takes the tokens of a request with `changes` puts and deletes that is sent now.
   void take(int changes);
-  /// The requests a second that are surely this controller's.
+  /// This controller's even share of the request limit, in requests per second.
   double even_requests() const { return requests_.even; }
 
  private:
   struct TokenBucket {
-    double total = 0;   // a second, of all controllers
-    double even = 0;    // a second, the even part of each
-    double rate = 0;    // a second, with what the others leave
-    double tokens = 0;  // below 0: debt
-    double used = 0;    // a second, on average over kUseMs
+    double total = 0;   // per second, for all controllers together
+    double even = 0;    // per second, the even share of one controller
+    double rate = 0;    // per second, including what is borrowed from peers
+    double tokens = 0;  // negative: overdrawn
+    double used = 0;    // per second, exponential average over kUseMs
     void set_up(double limit, double controllers);
     void refill(double seconds, double unused);
     void take(double count);
--- a/src/state_store/replicated_view.cc
+++ b/src/state_store/replicated_view.cc
@@ -1,4 +1,4 @@
-// Applies the rows of the state store to the view.
+// Applies rows of the state store to the view.
 #include "state_store/replicated_view.h"
 
 #include <cstdlib>
@@ -21,7 +21,7 @@
   return row;
 }
 
-// Whether the entry of a map is at least as new as a row.
+// Whether a row is not newer than the existing entry for its key.
 template <typename Map, typename Key>
 bool is_outdated(const Map& entries, const Key& key, const codec::StateRow& row) {
   const auto entry = entries.find(key);
@@ -39,13 +39,14 @@
   if (!std::exchange(view_.ready, true)) find_unresolved();
 }
 
-// Once everything is loaded, what is known of no prerequisite will be told by no later change.
+// Once all keys are loaded, a prerequisite without an open or final record may have ended before
+// the load, in which case no later change will report it.
 void ReplicatedView::find_unresolved() {
   for (const auto& id : view_.dependencies.prerequisites())
     if (!is_open(id)) unresolved_.insert(id);
 }
 
-// The key of everything in the view but ends, which are never removed.
+// The keys of all entries of the view except final states, which are never removed by a reload.
 std::vector<std::string> ReplicatedView::known_keys() const {
   std::vector<std::string> keys;
   for (const auto& [id, entry] : view_.jobs) keys.push_back(codec::job_key(id));
@@ -87,7 +88,7 @@
 
 void ReplicatedView::apply_final(const std::string& id, const codec::StateRow& row) {
   if (!row.final_phase) return;
-  // Earlier builds did not write the time: it is not later than now.
+  // Records of earlier builds lack the time of the end; the current time is an upper bound.
   const Ms at = row.final_at.value_or(runtime_.wall());
   remember_final(id, {.phase = *row.final_phase, .revision = row.revision, .at = at});
 }
@@ -121,7 +122,8 @@
     return;
   }
   if (!row.node) return;
-  // Under the same lease it has been there all the time, and only names another version now.
+  // A rewrite of the record under the same lease only changes the acting version, so the time at
+  // which the controller was first seen is kept.
   const auto known = view_.nodes.find(name);
   const bool same_lease = known != view_.nodes.end() &&
                           known->second.record.boot == row.node->boot &&
@@ -143,7 +145,8 @@
   if (row.version) view_.cluster.version = row.version->version;
 }
 
-// Puts first: the final record of a job must be known when its record goes.
+// Puts are applied before deletes, so that the final record of a job is in the view when its open
+// record is removed.
 void ReplicatedView::apply_commit(const std::vector<codec::Write>& writes,
                                   std::uint64_t store_revision) {
   for (const bool deletes : {false, true}) {
@@ -172,7 +175,7 @@
   if (job == view_.jobs.end() || job->second.revision > revision) return;
   view_.jobs.erase(job);
   view_.dependencies.close(id);
-  // After changes were missed its record may be gone without a word of its end.
+  // If changes were missed, the open record may disappear although no final record was received.
   if (view_.ready && !is_final(id) && view_.dependencies.is_prerequisite(id))
     unresolved_.insert(id);
   if (announce) events_.job_closed(id);
@@ -228,11 +231,11 @@
   }
   if (!row.prerequisites) return;
   prerequisite_chunks_.note(*key, runtime_.now());
-  if (is_open(key->job) || is_final(key->job)) return;  // its content is of no more use
+  if (is_open(key->job) || is_final(key->job)) return;  // the content is no longer needed
   prerequisite_chunks_.set_jobs(*key, row.prerequisites->jobs);
   const auto waiting = incomplete_.find(key->job);
   if (waiting == incomplete_.end()) return;
-  const codec::StateRow job = waiting->second;  // opening it removes it from there
+  const codec::StateRow job = waiting->second;  // a copy, since open_job() erases the entry
   open_job(key->job, job, view_.ready);
 }
 
@@ -250,7 +253,7 @@
       });
 }
 
-// --------------------------------------------------------------------------- ends of jobs
+// --------------------------------------------------------------------------- final states
 
 void ReplicatedView::remember_final(const std::string& id, const DependencyGraph::End& end) {
   unresolved_.erase(id);
@@ -271,7 +274,7 @@
   return finished_.since(store_revision);
 }
 
-// ------------------------------------------------------------------------ told by the peers
+// ------------------------------------------------------------------------ reports of peers
 
 void ReplicatedView::merge_finished(const std::vector<FinishedJob>& finished) {
   for (const auto& job : finished) {
@@ -281,7 +284,8 @@
 }
 
 void ReplicatedView::merge_claim(int partition, const std::string& leader, std::uint64_t revision) {
-  // An older claim may have ended within our view, and the changes will not tell so again.
+  // A claim that is not newer than the view may have ended by a change that is already applied and
+  // will not be delivered again.
   if (revision <= view_.store_revision) return;
   codec::StateRow claim;
   claim.key = codec::partition_key(partition);
--- a/src/state_store/replicated_view.h
+++ b/src/state_store/replicated_view.h
@@ -1,5 +1,5 @@
-// What this node knows of the followed keys: a replica that follows the state store, and is ahead
-// of it by this node's own commits.
+// This node's replica of the watched keys. It follows the changes of the state store and also
+// contains this node's own commits before the watch delivers them.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -21,14 +21,14 @@
 
 namespace eiderreel {
 
-/// Keeps a ClusterView up to date, and tells of its changes.
+/// Keeps a ClusterView up to date and reports its changes.
 class ReplicatedView {
  public:
-  /// Called after the view has changed.
+  /// Callbacks, called after the view has changed.
   struct Events {
     using OfId = std::function<void(const std::string& id)>;
     OfId job_opened;
-    OfId job_ready;  // its last prerequisite is done; not told of a job without prerequisites
+    OfId job_ready;  // its last prerequisite is done; not called for jobs without prerequisites
     OfId job_closed;
     OfId urgency_changed;
     OfId machine_changed;
@@ -36,41 +36,43 @@
   };
 
   explicit ReplicatedView(Runtime& runtime) : runtime_(runtime) {}
-  /// Sets who is told of changes; to be called once.
+  /// Sets the event callbacks; must be called once.
   void start(Events events) { events_ = std::move(events); }
-  /// What is known now.
+  /// The current view.
   const ClusterView& view() const { return view_; }
 
-  /// Keys are listed anew: which jobs ended since the changes that were missed is not known.
+  /// Begins to load all keys at `store_revision`. Clears the history of finished jobs, which may
+  /// lack those that ended in missed changes.
   void begin_load(std::uint64_t store_revision);
-  /// What an earlier view had and the list has not is gone.
+  /// Removes the entries whose keys are missing from the complete list of keys.
   void remove_missing(const std::set<std::string>& loaded, std::uint64_t store_revision);
-  /// All changes up to here are in.
+  /// Records that all changes up to `store_revision` are applied.
   void applied_up_to(std::uint64_t store_revision);
-  /// Applies the row of a key. Rows may come twice and, from our own commits, ahead of their turn:
-  /// an older revision changes nothing, and a final job never opens again. `announce`: whether
-  /// events tell of it.
+  /// Applies the row of a key. A row may arrive twice or, from this node's own commits, ahead of
+  /// earlier changes: an older revision is ignored, and a final job is never reopened. `announce`:
+  /// whether events are raised for the change.
   void apply(const codec::StateRow& row, bool announce);
-  /// Applies a transaction of our own that is durable.
+  /// Applies the writes of a durable transaction of this node.
   void apply_commit(const std::vector<codec::Write>& writes, std::uint64_t store_revision);
 
-  /// Prerequisites of open jobs of which neither a record nor an end is known here. Their ends are
-  /// to be read; see StoreReader::read_ends.
+  /// Prerequisites of open jobs that have neither an open nor a final record in the view. Their
+  /// final records must be read; see StoreReader::read_final_records.
   const std::set<std::string>& unresolved() const { return unresolved_; }
-  /// Whether it is not known what became of a job that this one needs, directly or through others.
+  /// Whether any direct or transitive prerequisite of the job is unresolved.
   bool is_unresolved(const std::string& id) const {
     return view_.dependencies.depends_on(id, unresolved_);
   }
-  /// Keys of prerequisite chunks that belong to no open job, `most` of them.
+  /// Keys of prerequisite chunks that belong to no open job, at most `max_count`.
   std::vector<std::string> orphaned_chunks(std::size_t most) const;
-  /// All jobs that this node knows to have ended after `store_revision`; nullopt when it cannot
-  /// tell.
+  /// All jobs that ended after `store_revision`, or nullopt if the history of this node is
+  /// incomplete.
   std::optional<std::vector<FinishedJob>> finished_since(std::uint64_t store_revision) const;
-  /// What a peer knows to be over is over in our view too.
+  /// Merges ended jobs that a peer reported.
   void merge_finished(const std::vector<FinishedJob>& finished);
-  /// A peer has claimed a partition. A claim within the changes that our view has is ignored.
+  /// Merges a partition claim that a peer reported. A claim that is not newer than the view is
+  /// ignored.
   void merge_claim(int partition, const std::string& leader, std::uint64_t revision);
-  /// An earlier process of this node has ended its lease.
+  /// Removes the entry of a node whose lease was revoked.
   void forget_node(const std::string& node) { view_.nodes.erase(node); }
 
  private:
@@ -95,11 +97,11 @@
   Runtime& runtime_;
   Events events_;
   ClusterView view_;
-  std::list<std::string> final_order_;  // of view_.finals, the oldest first
+  std::list<std::string> final_order_;  // keys of view_.final_states, oldest first
   FinishedJobs finished_;
   std::set<std::string> unresolved_;
   PrerequisiteChunks prerequisite_chunks_;
-  std::map<std::string, codec::StateRow> incomplete_;  // jobs that lack some of their chunks
+  std::map<std::string, codec::StateRow> incomplete_;  // jobs with missing prerequisite chunks
 };
 
 }  // namespace eiderreel
--- a/src/state_store/request_priority.h
+++ b/src/state_store/request_priority.h
@@ -1,15 +1,15 @@
-// The order in which requests to the state store go when its budget is short.
+// Priorities of requests to the state store.
 #pragma once
 
 namespace eiderreel {
 
-/// What goes first when the budget of the state store is short. Users and what they are told come
-/// before machines, and machines before progress, which is written as often as the rest allows.
+/// The order in which requests are sent when the request budget of the state store is exhausted,
+/// most urgent first. Progress is written as often as the other requests allow.
 enum class RequestPriority {
-  urgent,    // leases, partitions and the watch: never held back by the rate limiter
-  user,      // requests that a user waits for
-  fleet,     // changes of machines
-  progress,  // finished tasks, and cleaning up
+  urgent,    // leases, partition claims and the watch: never delayed by the rate limiter
+  user,      // requests for which a user waits, and records that users poll
+  fleet,     // changes of machine records
+  progress,  // records of finished tasks, and garbage collection
 };
 
 }  // namespace eiderreel
--- a/src/state_store/request_queue.cc
+++ b/src/state_store/request_queue.cc
@@ -1,4 +1,4 @@
-// Queues the requests to the state store, and retries those that it refuses over its limit.
+// Queues requests to the state store and retries user requests that it rejects with 429.
 #include "state_store/request_queue.h"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Any reply but these shows that the state store serves this controller.
+// Whether the reply shows that the state store executes requests of this controller.
 bool is_executed(int status) {
   return status != http_status::kNoAnswer && status != http_status::kServiceUnavailable &&
          status != http_status::kTooManyRequests;
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-// More than can be served while it waits would only be refused later.
+// A request beyond the number that can be sent within the timeout would expire in the queue anyway.
 bool RequestQueue::is_full() const {
   const double most = std::max(k::kPendingLeast, settings_.state_rps * k::kStateTimeoutMs / 1000);
   return static_cast<double>(queue_.size()) >= most;
@@ -46,8 +46,8 @@
   send_allowed();
 }
 
-// The request was not sent, so nothing was done. The caller hears of it after its own call has
-// returned, as of any other reply.
+// Replies 429 to a request that was not sent. The callback runs after the caller's submit() has
+// returned, as with any other reply.
 void RequestQueue::refuse(std::function<void(const HttpReply&)> done) {
   ++counters_.refused_here;
   runtime_.after(
@@ -86,7 +86,8 @@
   runtime_.http(http_request(sent->request), [this, sent](const HttpReply& reply) {
     ++counters_.replies[reply.status];
     if (is_executed(reply.status)) last_good_ = runtime_.now();
-    // Over the limit after all: nothing was done, so it may go again as it is.
+    // The state store rejected the request over its rate limit and did not execute it, so it can be
+    // sent again unchanged.
     if (reply.status == http_status::kTooManyRequests &&
         sent->request.priority == RequestPriority::user && runtime_.now() < sent->expires) {
       runtime_.after(k::kOverLimitMs, [this, sent] { enqueue(std::move(*sent)); });
--- a/src/state_store/request_queue.h
+++ b/src/state_store/request_queue.h
@@ -1,4 +1,4 @@
-// The requests to the state store that wait for the rate limiter.
+// Queue of requests to the state store that wait for the rate limiter.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -19,43 +19,43 @@
 struct StoreRequest {
   std::string method;
   std::string path;
-  std::string body = {};  // empty: none
+  std::string body = {};  // empty: no body
   Ms timeout = constants::kStateTimeoutMs;
-  int changes = 0;  // puts and deletes in it
+  int changes = 0;  // number of puts and deletes
   RequestPriority priority = RequestPriority::user;
   std::function<void(const HttpReply&)> done;  // called exactly once
 };
 
-/// Sends requests in the order of their priorities, as fast as the rate limiter allows. One that
-/// has waited for its whole timeout without being sent gets a 429, as does one that finds the queue
-/// full; urgent ones are exempt from both.
+/// Sends requests by priority, as fast as the rate limiter allows. A request that has waited for
+/// its whole timeout without being sent gets status 429, as does one that is submitted while the
+/// queue is full; urgent requests are exempt from both.
 class RequestQueue {
  public:
-  /// What has happened since the start.
+  /// Totals since the start of the process.
   struct Counters {
-    std::map<int, std::uint64_t> replies;  // by status, 0: none
-    std::uint64_t refused_here = 0;        // over our own budget
+    std::map<int, std::uint64_t> replies;  // by HTTP status; 0: no reply
+    std::uint64_t refused_here = 0;        // rejected by this queue, not by the state store
   };
 
   RequestQueue(Runtime& runtime, const Settings& settings, RateLimiter& rate_limiter)
       : runtime_(runtime), settings_(settings), rate_limiter_(rate_limiter) {}
 
-  /// Queues a request, and sends it at once if it may go.
+  /// Queues a request, and sends it at once if the rate limiter allows it.
   void submit(StoreRequest request);
-  /// Sends what may go by now.
+  /// Sends the queued requests that the rate limiter allows now.
   void send_allowed();
 
-  /// When the state store last executed a request of ours.
+  /// When the last reply arrived that shows that the state store executes this node's requests.
   Ms last_good() const { return last_good_; }
-  /// All that was counted since the start.
+  /// The totals since the start of the process.
   const Counters& counters() const { return counters_; }
-  /// How many requests wait to be sent.
+  /// The number of requests that wait to be sent.
   std::size_t size() const { return queue_.size(); }
 
  private:
   struct Pending {
     StoreRequest request;
-    Ms expires = 0;  // when it has waited for its whole timeout
+    Ms expires = 0;  // end of its timeout, counted from its submission
   };
   bool is_full() const;
   void enqueue(Pending pending);
--- a/src/state_store/revision_waiters.cc
+++ b/src/state_store/revision_waiters.cc
@@ -1,4 +1,4 @@
-// Callbacks that wait until the replica has caught up with a revision.
+// Callbacks that run once the replica has reached a store revision.
 #include "state_store/revision_waiters.h"
 
 #include <utility>
@@ -13,7 +13,7 @@
 }
 
 void RevisionWaiters::notify() {
-  // A callback may add a waiter, so each is removed before its call.
+  // A callback may add waiters, so each waiter is removed before it is called.
   while (!waiters_.empty() && waiters_.begin()->first <= replica_.view().store_revision) {
     auto done = std::move(waiters_.begin()->second);
     waiters_.erase(waiters_.begin());
--- a/src/state_store/revision_waiters.h
+++ b/src/state_store/revision_waiters.h
@@ -1,4 +1,4 @@
-// Callbacks that wait until the replica has caught up with a revision.
+// Callbacks that run once the replica has reached a store revision.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -8,14 +8,15 @@
 
 namespace eiderreel {
 
-/// Calls back once the replica has all changes up to a revision.
+/// Runs callbacks once the replica has applied all changes up to a revision.
 class RevisionWaiters {
  public:
   explicit RevisionWaiters(const ReplicatedView& replica) : replica_(replica) {}
 
-  /// Calls `done` once the replica has all changes up to `store_revision`; at once if it has.
+  /// Calls `done` once the replica has applied all changes up to `store_revision`: immediately if
+  /// it has already.
   void when_applied(std::uint64_t store_revision, std::function<void()> done);
-  /// Calls those whose revision the replica has reached, in the order of the revisions.
+  /// Calls the waiters whose revision the replica has reached, in the order of their revisions.
   void notify();
 
  private:
--- a/src/state_store/standby_monitor.cc
+++ b/src/state_store/standby_monitor.cc
@@ -1,4 +1,5 @@
-// Whether this controller stands by, because it cannot act under the durable cluster version.
+// Tracks whether this controller is in standby because it does not support the durable cluster
+// version.
 #include "state_store/standby_monitor.h"
 
 #include <spdlog/spdlog.h>
--- a/src/state_store/standby_monitor.h
+++ b/src/state_store/standby_monitor.h
@@ -1,4 +1,5 @@
-// Whether this controller stands by, because it cannot act under the durable cluster version.
+// Tracks whether this controller is in standby because it does not support the durable cluster
+// version.
 #pragma once
 #include <string>
 #include <utility>
@@ -7,23 +8,23 @@
 
 namespace eiderreel {
 
-/// Keeps the reason for which this controller must not act, and logs its changes. A build that
-/// cannot act under the durable version asks for no lease, so it owns nothing and none of its
-/// writes can be bound to a version.
+/// Stores the reason why this controller must not act, and logs its changes. A controller in
+/// standby requests no lease, so it leads no partition and none of its writes can be bound to a
+/// version.
 class StandbyMonitor {
  public:
   StandbyMonitor(std::string node, const upgrade::ActingVersion& acting_version)
       : node_(std::move(node)), acting_version_(acting_version) {}
 
-  /// Looks at the cluster version as the replica has it now.
+  /// Updates the reason from the cluster version in the replica.
   void update(const upgrade::ClusterState& cluster);
-  /// Whether this controller had to stand by at the last update.
+  /// Whether this controller was in standby at the last update.
   bool in_standby() const { return !reason_.empty(); }
 
  private:
   std::string node_;
   const upgrade::ActingVersion& acting_version_;
-  std::string reason_;  // as it was last logged; empty: this controller may act
+  std::string reason_;  // as last logged; empty: this controller may act
 };
 
 }  // namespace eiderreel
--- a/src/state_store/state_store_client.h
+++ b/src/state_store/state_store_client.h
@@ -1,5 +1,4 @@
-// The state store client: all dealings with the state store. The other folders include this header
-// alone; the parts behind it have one job each.
+// The state store client. Code outside this directory includes only this header.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -31,76 +30,76 @@
 
 namespace eiderreel {
 
-/// The facade of this folder. It owns this node's lease, the replica of every followed key, and the
-/// requests that wait for the rate limiter.
+/// Facade for all access to the state store. It owns this node's lease, the replica of the watched
+/// keys, and the queue of requests that wait for the rate limiter.
 class StateStoreClient {
  public:
   using Counters = RequestQueue::Counters;
 
   StateStoreClient(Runtime& runtime, const Settings& settings);
-  // The parts refer to each other, so they stay where they are.
+  // Not movable: the members hold references to each other.
   StateStoreClient(const StateStoreClient&) = delete;
   StateStoreClient(StateStoreClient&&) = delete;
   StateStoreClient& operator=(const StateStoreClient&) = delete;
   StateStoreClient& operator=(StateStoreClient&&) = delete;
   ~StateStoreClient() = default;
 
-  /// Begins to follow the state store. `lease_lost` is called each time this node's lease has
-  /// ended.
+  /// Starts to watch the state store. `lease_lost` is called each time the state store reports that
+  /// this node's lease has ended.
   void start(ReplicatedView::Events events, std::function<void()> lease_lost);
-  /// All periodic work, every constants::kTickMs.
+  /// Does the periodic work; to be called every constants::kTickMs.
   void tick();
 
-  /// What this node knows of the followed keys.
+  /// This node's view of the watched keys.
   const ClusterView& view() const { return replica_.view(); }
   /// The replica of the watched keys.
   ReplicatedView& replica() { return replica_; }
   const ReplicatedView& replica() const { return replica_; }
-  /// The lease of this node; 0: there is none.
+  /// The lease ID of this node; 0 if it has no lease.
   std::uint64_t lease_id() const { return lease_.id(); }
-  /// Invariant 6: whether the lease is surely alive.
+  /// Invariant 6: whether the lease is valid, less clock drift and a safety margin.
   bool lease_alive() const { return lease_.alive(); }
-  /// When the state store last executed a request of this node.
+  /// When the last reply arrived that shows that the state store executes this node's requests.
   Ms last_good() const { return requests_.last_good(); }
-  /// The cluster version that this controller acts under.
+  /// The cluster version under which this controller acts.
   const upgrade::ActingVersion& acting_version() const { return acting_version_; }
-  /// How progress is stored under that version.
+  /// The policy for storing progress under the acting version.
   upgrade::ProgressPolicy progress_policy() const {
     return upgrade::progress_policy(acting_version_.version());
   }
-  /// Why this controller must not act at all; empty: it may.
+  /// The reason why this controller must not act; empty if it may.
   std::string standby_reason() const { return acting_version_.obstacle(view().cluster); }
-  /// Marks a value as written by this process.
+  /// Returns a new nonce, which marks the values written by one transaction.
   std::string nonce() { return nonces_.next(); }
 
-  /// Carries out a transaction, see CompareAndSwap.
+  /// Executes a transaction; see CompareAndSwap.
   void compare_and_swap(CompareAndSwap transaction);
-  /// Linearizable read of one key. A row of revision 0: the key does not exist.
+  /// Linearizable read of one key. A row with revision 0 means that the key does not exist.
   void read(const std::string& key, StoreCallback<codec::StateRow> done);
-  /// Every key under `prefix`, in the order of the keys.
+  /// Lists all keys under `prefix`, in key order.
   void list(const std::string& prefix, StoreCallback<std::vector<codec::StateRow>> done);
-  /// Reads the final records of these jobs into the view, as far as there are any. With an error
-  /// some of them could not be read.
+  /// Reads the final records of these jobs into the view; jobs without one are skipped. On an error
+  /// some records may not have been read.
   void read_ends(std::vector<std::string> ids, StoreCallback<void> done);
-  /// Which of these jobs were ever accepted.
+  /// Finds which of these jobs were ever accepted, that is, have an open or a final record.
   void find_accepted(std::vector<std::string> ids, StoreCallback<std::set<std::string>> done);
-  /// Calls back once the view has all changes that were made before this call.
+  /// Calls back once the view contains all changes that were committed before this call.
   void catch_up(const StoreCallback<void>& done) { reader_.catch_up(done); }
-  /// Calls back once the view has all changes up to `store_revision`.
+  /// Calls back once the view contains all changes up to `store_revision`.
   void when_applied(std::uint64_t store_revision, std::function<void()> done);
 
-  /// What this node takes of the rate limits, for its peers.
+  /// The request and change rates that this node uses, to be reported to its peers.
   StoreUsage use() const { return rate_limiter_.use(); }
-  /// What a peer has said that it takes.
+  /// Stores the rates that a peer reported.
   void peer_use(const std::string& node, const StoreUsage& use);
-  /// Requests by status, and those that were refused here.
+  /// Replies by status, and requests that the queue of this node refused.
   const Counters& counters() const { return requests_.counters(); }
-  /// How many requests wait for the rate limiter.
+  /// The number of requests that wait for the rate limiter.
   std::size_t pending() const { return requests_.size(); }
 
  private:
   Runtime& runtime_;
-  // Each part refers to some of those above it.
+  // Each member may hold references to members declared before it.
   ReplicatedView replica_;
   upgrade::ActingVersion acting_version_;
   NonceSource nonces_;
--- a/src/state_store/store_error.cc
+++ b/src/state_store/store_error.cc
@@ -1,4 +1,4 @@
-// Classifies failed requests to the state store and describes them.
+// Classifies failed requests to the state store and formats them for messages.
 #include "state_store/store_error.h"
 
 #include <utility>
@@ -13,7 +13,7 @@
     case http_status::kNoAnswer:
       return StoreErrorKind::no_answer;
     case http_status::kOk:
-      return StoreErrorKind::malformed_reply;  // a good status, so its body was of no use
+      return StoreErrorKind::malformed_reply;  // the status is a success, so the body was malformed
     case http_status::kTooManyRequests:
       return StoreErrorKind::throttled;
     case http_status::kServiceUnavailable:
--- a/src/state_store/store_error.h
+++ b/src/state_store/store_error.h
@@ -1,4 +1,4 @@
-// What can go wrong with a request to the state store, and the results that carry it.
+// Errors of requests to the state store, and the result types that carry them.
 #pragma once
 #include <functional>
 #include <string>
@@ -6,43 +6,44 @@
 
 namespace eiderreel {
 
-/// Why a request to the state store has failed.
+/// Why a request to the state store failed.
 enum class StoreErrorKind {
-  no_answer,        // none arrived in time; the request may have been executed, or still may be
-  unavailable,      // the state store did not execute it
-  throttled,        // over the limit of requests, here or at the state store; not executed
-  server_error,     // a 5xx that does not tell whether the request was executed
-  rejected,         // any other status that the operation does not expect
+  no_answer,     // no reply within the timeout; the request may have been executed, or may still be
+  unavailable,   // 503: the state store did not execute the request
+  throttled,     // over the rate limit of this node or of the state store; not executed
+  server_error,  // another 5xx status; the request may have been executed
+  rejected,      // another status that the operation does not expect
   malformed_reply,  // the reply cannot be parsed
-  replica_behind,   // the replica did not reach the asked revision in time
+  replica_behind,   // the replica did not reach the requested revision in time
 };
 
 /// A failed request to the state store.
 struct StoreError {
   StoreErrorKind kind = StoreErrorKind::no_answer;
-  int http_status = 0;    // of the reply; 0: there was none
+  int http_status = 0;    // of the reply; 0: no reply
   std::string operation;  // "read", "list", "compare" or "catch up"
-  std::string key;        // the key or the prefix that was asked for; empty: several keys
+  std::string key;        // the requested key or prefix; empty if several keys were requested
 };
 
-/// What a request to the state store yields.
+/// The result of a request to the state store.
 template <typename T>
 using StoreResult = tl::expected<T, StoreError>;
 
-/// Takes the result of an asynchronous request. It is called exactly once.
+/// Receives the result of an asynchronous request. Called exactly once.
 template <typename T>
 using StoreCallback = std::function<void(StoreResult<T>)>;
 
-/// Whether a reply with this status leaves it open if the request was executed: there was no
-/// answer, or one of a server that failed midway. A 503 was not executed, by the protocol.
+/// Whether a request with this reply status may have been executed: true if there was no reply, or
+/// a 5xx status other than 503. The protocol guarantees that a request with reply 503 was not
+/// executed.
 bool leaves_in_doubt(int status);
 
-/// The error behind a reply that an operation cannot use, by its status.
+/// Builds the error for a reply that an operation cannot use, from the reply's status.
 StoreError error_of_reply(int status, std::string operation, std::string key);
 
-/// The name of the kind, for messages.
+/// The name of the error kind, for messages.
 std::string to_string(StoreErrorKind kind);
-/// One line with the operation, the key, the kind and the status.
+/// Formats the operation, key, kind and status as one line.
 std::string to_string(const StoreError& error);
 
 }  // namespace eiderreel
--- a/src/state_store/store_http.cc
+++ b/src/state_store/store_http.cc
@@ -1,4 +1,4 @@
-// Builds the paths of the state store's HTTP interface.
+// Builds request paths of the state store's HTTP interface.
 #include "state_store/store_http.h"
 
 namespace eiderreel::store_http {
--- a/src/state_store/store_reader.cc
+++ b/src/state_store/store_reader.cc
@@ -1,4 +1,4 @@
-// Reads single keys, lists, final records and the existence of jobs.
+// Reads single keys, lists and final records, and checks the existence of jobs.
 #include "state_store/store_reader.h"
 
 #include <algorithm>
@@ -19,13 +19,14 @@
 };
 
 struct StoreReader::EndsQuery {
-  std::vector<std::string> ids;  // still to be read; descending, so that the next one is the last
+  std::vector<std::string>
+      ids;  // not read yet, in descending order, so that the next one is at the back
   StoreCallback<void> done;
 };
 
 struct StoreReader::AcceptedQuery {
   std::vector<std::string> ids;
-  std::size_t next = 0;  // the first one that was not asked for yet
+  std::size_t next = 0;  // index of the first ID that was not requested yet
   std::set<std::string> found;
   StoreCallback<std::set<std::string>> done;
 };
@@ -90,7 +91,7 @@
   });
 }
 
-// ------------------------------------------------------------------------ ends of jobs
+// ------------------------------------------------------------------------ final records
 
 void StoreReader::read_ends(std::vector<std::string> ids, StoreCallback<void> done) {
   std::sort(ids.begin(), ids.end(), std::greater<>());
@@ -98,8 +99,8 @@
   read_next_ends(std::make_shared<EndsQuery>(std::move(query)));
 }
 
-// One read tells of all ids up to the last key of its page, so the reads are no more than the ids,
-// and far fewer where these lie close together.
+// One page settles all IDs up to its last key, so there are at most as many reads as IDs, and far
+// fewer if the IDs are close together.
 void StoreReader::read_next_ends(const std::shared_ptr<EndsQuery>& query) {
   if (query->ids.empty()) {
     query->done({});
@@ -120,22 +121,22 @@
   });
 }
 
-// Applies the ends that were asked for, and removes the ids that the page tells of.
+// Applies the final records of the requested jobs, and removes the IDs that the page covers.
 void StoreReader::apply_ends(EndsQuery& query, const codec::StateList& page) {
   const std::set<std::string> asked(query.ids.begin(), query.ids.end());
   for (const auto& row : page.rows)
     if (asked.contains(codec::key_name(row.key))) replica_.apply(row, true);
   const bool last = !page.more || page.rows.empty();
   const std::string covered = last ? "" : codec::key_name(page.rows.back().key);
-  // At least one goes, so that every read leads on.
+  // At least one ID is removed, so that every read makes progress.
   query.ids.pop_back();
   while (!query.ids.empty() && (last || query.ids.back() <= covered)) query.ids.pop_back();
 }
 
 // ------------------------------------------------------------------------------ existence
 
-// A transaction without writes compares only, at one revision: a job that moves from its open
-// record to its final one is there all the time.
+// A transaction without writes checks all preconditions at a single revision, so a job whose open
+// record is being replaced by its final record is found in either state.
 void StoreReader::find_accepted(std::vector<std::string> ids,
                                 StoreCallback<std::set<std::string>> done) {
   AcceptedQuery query{.ids = std::move(ids), .found = {}, .done = std::move(done)};
@@ -157,7 +158,8 @@
     absent.push_back({codec::final_key(ids[i]), 0});
   }
   query->next = end;
-  // Many at once leave the requests to users who ask for less.
+  // A query with more than one batch gets a lower priority, so that it does not delay other user
+  // requests.
   const auto priority = ids.size() > group ? RequestPriority::fleet : RequestPriority::user;
   compare(absent, priority, [this, query](const StoreResult<Comparison>& comparison) {
     if (!comparison) {
@@ -191,8 +193,8 @@
                     }});
 }
 
-// The answer to any comparison tells the newest revision. The replica reaches it with the next
-// changes that are followed; where these do not come, the caller is not kept waiting.
+// The reply to any comparison contains the newest revision. The replica reaches it through the
+// watch; if it does not within kStateTimeoutMs, the caller gets an error.
 void StoreReader::catch_up(const StoreCallback<void>& done) {
   auto once = [done, called = std::make_shared<bool>(false)](const StoreResult<void>& result) {
     if (!std::exchange(*called, true)) done(result);
--- a/src/state_store/store_reader.h
+++ b/src/state_store/store_reader.h
@@ -1,4 +1,4 @@
-// Reads of the state store beside the keys that the replica follows.
+// Direct reads of the state store, for data that the replica does not contain.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -19,22 +19,22 @@
 
 namespace eiderreel {
 
-/// One page of a list.
+/// The request for one page of a list.
 struct PageQuery {
   std::string prefix;
-  std::string after;  // the last key of the page before; empty: the first page
+  std::string after;  // the last key of the previous page; empty for the first page
   int page = constants::kListPage;
   Ms timeout = 2 * constants::kStateTimeoutMs;
   RequestPriority priority = RequestPriority::urgent;
 };
 
-/// The answer to a transaction without writes.
+/// The result of a transaction without writes.
 struct Comparison {
-  std::vector<std::string> failed;  // keys that do not have the revision of their precondition
+  std::vector<std::string> failed;  // keys whose precondition failed
   std::uint64_t store_revision = 0;
 };
 
-/// Reads of the state store. Every callback is called exactly once, with a result or an error.
+/// Reads from the state store. Every callback is called exactly once, with a result or an error.
 class StoreReader {
  public:
   StoreReader(Runtime& runtime, const Settings& settings, RequestQueue& requests,
@@ -46,18 +46,19 @@
         lease_(lease),
         waiters_(waiters) {}
 
-  /// Linearizable read of one key. A row of revision 0: the key does not exist.
+  /// Linearizable read of one key. A row with revision 0 means that the key does not exist.
   void read(const std::string& key, StoreCallback<codec::StateRow> done);
-  /// Every key under `prefix`, in the order of the keys. The pages may differ in their revisions.
+  /// Lists all keys under `prefix`, in key order. The pages may be read at different revisions.
   void list(const std::string& prefix, StoreCallback<std::vector<codec::StateRow>> done);
-  /// One page of a list.
+  /// Reads one page of a list.
   void read_page(const PageQuery& query, StoreCallback<codec::StateList> done);
-  /// Reads the final records of these jobs into the replica, as far as there are any. With an error
-  /// some of them could not be read.
+  /// Reads the final records of these jobs into the replica; jobs without one are skipped. On an
+  /// error some records may not have been read.
   void read_ends(std::vector<std::string> ids, StoreCallback<void> done);
-  /// Which of these jobs were ever accepted.
+  /// Finds which of these jobs were ever accepted, that is, have an open or a final record.
   void find_accepted(std::vector<std::string> ids, StoreCallback<std::set<std::string>> done);
-  /// Calls back once the replica has all changes that were made before this call.
+  /// Calls back once the replica contains all changes that were committed before this call, or with
+  /// an error after a timeout.
   void catch_up(const StoreCallback<void>& done);
 
  private:
--- a/src/state_store/store_watcher.cc
+++ b/src/state_store/store_watcher.cc
@@ -1,4 +1,4 @@
-// Brings the replica up to date: lists the followed keys, then follows their changes.
+// Keeps the replica up to date: lists the watched keys, then watches their changes.
 #include "state_store/store_watcher.h"
 
 #include <spdlog/spdlog.h>
@@ -13,8 +13,8 @@
 
 namespace k = constants;
 
-// Final records are too many to be listed; their changes are followed like all others. The versions
-// come last, and only where they are enabled.
+// Final records are too many to be listed; only their changes are watched. The versions are listed
+// last, and only if cluster versions are enabled.
 StoreWatcher::StoreWatcher(const Dependencies& dependencies)
     : dependencies_(dependencies),
       prefixes_{std::string(followed_keys::kPrerequisiteChunks), std::string(followed_keys::kJobs),
@@ -50,7 +50,7 @@
 }
 
 void StoreWatcher::on_page(std::size_t prefix_index, const codec::StateList& page) {
-  // Changes since the first page are followed from its revision, so none is missed.
+  // The watch starts at the revision of the first page, so no change during the listing is missed.
   if (revision_ == 0) {
     revision_ = page.store_revision;
     dependencies_.replica.begin_load(revision_);
@@ -65,7 +65,7 @@
     load_page(prefix_index + 1, "");
 }
 
-// ------------------------------------------------------------------------------ following
+// ------------------------------------------------------------------------------- watching
 
 void StoreWatcher::watch(Ms wait) {
   dependencies_.requests.submit(
@@ -77,7 +77,7 @@
 }
 
 void StoreWatcher::on_watch_reply(const HttpReply& reply) {
-  // The state store no longer has all changes since our revision.
+  // The state store no longer has all changes since `revision_`, so the keys are listed again.
   if (reply.status == http_status::kGone) {
     start();
     return;
@@ -105,7 +105,7 @@
   dependencies_.waiters.notify();
 }
 
-// Following takes no more than a part of the requests, however busy the keys are.
+// Limits the watch to the share kWatchShare of this node's requests, however often the keys change.
 Ms StoreWatcher::pause() const {
   const double requests_per_s = dependencies_.rate_limiter.even_requests() * k::kWatchShare;
   return std::max(k::kWatchPauseMs, static_cast<Ms>(1000.0 / requests_per_s));
--- a/src/state_store/store_watcher.h
+++ b/src/state_store/store_watcher.h
@@ -1,4 +1,4 @@
-// Brings the replica up to date: lists the followed keys, then follows their changes.
+// Keeps the replica up to date: lists the watched keys, then watches their changes.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -18,11 +18,11 @@
 
 namespace eiderreel {
 
-/// Lists every followed key into the replica, and then follows the changes. When changes were
-/// missed, it lists the keys again.
+/// Lists all watched keys into the replica and then applies their changes. If changes were missed,
+/// it lists the keys again.
 class StoreWatcher {
  public:
-  /// What it works with; all of it outlives it.
+  /// References to the collaborators, which must outlive this object.
   struct Dependencies {
     Runtime& runtime;
     const Settings& settings;
@@ -34,7 +34,7 @@
   };
   explicit StoreWatcher(const Dependencies& dependencies);
 
-  /// Begins with listing the keys.
+  /// Starts to list the keys; the watch follows.
   void start();
 
  private:
@@ -47,8 +47,8 @@
 
   Dependencies dependencies_;
   std::vector<std::string> prefixes_;  // listed in this order
-  std::uint64_t revision_ = 0;         // changes are followed from here
-  std::set<std::string> loaded_;       // keys met while listing
+  std::uint64_t revision_ = 0;         // changes up to this revision are applied
+  std::set<std::string> loaded_;       // keys found by the current listing
 };
 
 }  // namespace eiderreel
