--- a/src/api/job_admission.cc
+++ b/src/api/job_admission.cc
@@ -44,7 +44,7 @@
   const ClusterView& view = state_store_.view();
   std::vector<std::string> unknown;
   for (const auto& id : job.prerequisites)
-    if (!view.jobs.contains(id) && !view.finals.contains(id)) unknown.push_back(id);
+    if (!view.jobs.contains(id) && !view.final_states.contains(id)) unknown.push_back(id);
   return unknown;
 }
 
@@ -54,7 +54,7 @@
 void JobAdmission::check_prerequisites(const PendingSubmission& submission) {
   auto unknown = unknown_prerequisites(submission->job);
   if (unknown.empty()) return write(submission);
-  state_store_.read_ends(std::move(unknown), [this, submission](const auto& read) {
+  state_store_.read_final_records(std::move(unknown), [this, submission](const auto& read) {
     if (!read) return end(submission, failed(AdmissionFailure::unconfirmed));
     check_accepted(submission);
   });
@@ -81,7 +81,7 @@
 // record the job is cancelled too.
 void JobAdmission::write(const PendingSubmission& submission) {
   JobSpec& job = submission->job;
-  const auto& finals = state_store_.view().finals;
+  const auto& finals = state_store_.view().final_states;
   std::erase_if(job.prerequisites, [&](const std::string& id) {
     const auto final_record = finals.find(id);
     return final_record != finals.end() && final_record->second.phase == JobPhase::done;
--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -46,7 +46,7 @@
 // leader, while its lease is alive, or the state store itself can speak.
 void JobApi::look_up(const std::string& id, bool cancel, const Reply& reply) {
   const ClusterView& view = state_store_.view();
-  if (auto final_record = view.finals.find(id); final_record != view.finals.end())
+  if (auto final_record = view.final_states.find(id); final_record != view.final_states.end())
     return reply_final(id, final_record->second.phase, cancel, reply);
   if (!view.jobs.contains(id)) return read_open(id, cancel, reply);
   const Ms asked_at = runtime_.now();
@@ -72,7 +72,7 @@
 // age.
 void JobApi::reply_open(const std::string& id, bool cancel, OpenJobReply answer,
                         const Reply& reply) const {
-  const auto& finals = state_store_.view().finals;
+  const auto& finals = state_store_.view().final_states;
   if (auto final_record = finals.find(id); final_record != finals.end())
     return reply_final(id, final_record->second.phase, cancel, reply);
   if (!cancel && runtime_.now() - answer.asked_at > k::kOpenAnswerMs)
@@ -108,9 +108,9 @@
 void JobApi::reply_waiting(const std::string& id, const Reply& reply) {
   state_store_.catch_up([this, id, asked_at = runtime_.now(), reply](const auto& caught_up) {
     const ClusterView& view = state_store_.view();
-    const bool ended = view.finals.contains(id);
+    const bool ended = view.final_states.contains(id);
     if (!ended && (!caught_up || !view.jobs.contains(id) || view.dependencies.cancelled(id) ||
-                   state_store_.replica().is_unresolved(id)))
+                   state_store_.replica().has_unresolved_prerequisite(id)))
       return reply_error(reply, UserError::leader_unreachable);
     reply_open(id, false, queued_reply(id, asked_at), reply);
   });
--- a/src/api/job_submission.cc
+++ b/src/api/job_submission.cc
@@ -53,7 +53,7 @@
 
 bool JobSubmission::is_known(const std::string& id) const {
   const ClusterView& view = state_store_.view();
-  return view.finals.contains(id) || view.jobs.contains(id);
+  return view.final_states.contains(id) || view.jobs.contains(id);
 }
 
 // ----------------------------------------------------------------------------- admission
@@ -62,7 +62,7 @@
   auto parsed = codec::parse_job(body);
   if (!parsed.spec) return reply(http_status::kBadRequest, codec::error_body(parsed.error));
   JobSpec& job = *parsed.spec;
-  job.accepted_at = runtime_.wall();
+  job.accepted_at = runtime_.wall_clock_now();
   if (!state_store_.view().ready) return reply_error(reply, UserError::not_ready);
   // Idempotent request: a job that is known is told, never accepted again.
   if (is_known(job.id)) return look_up_(job.id, reply);
--- a/src/controller/metrics.cc
+++ b/src/controller/metrics.cc
@@ -72,7 +72,7 @@
   out.gauge("cancelled_by_prerequisite", "open jobs whose final record is still to be written",
             view.dependencies.all_cancelled().size());
   out.gauge("unresolved_prerequisites", "prerequisites whose end is still to be read",
-            state_store.replica().unresolved().size());
+            state_store.replica().unresolved_prerequisites().size());
   out.gauge("machines", "machines assigned to a partition, of all partitions",
             view.machines.size());
 }
@@ -133,7 +133,7 @@
   out.by_status("state_store_requests_total", state_store.replies);
   out.counter("state_store_throttled_total",
               "requests over this node's share of the state store's limits",
-              state_store.refused_here);
+              state_store.refused_locally);
   out.type("cloud_requests_total", "counter", "requests to the cloud by status, 0: no answer");
   out.by_status("cloud_requests_total", controller.fleet().cloud().replies());
 }
--- a/src/leadership/job_finalizer.cc
+++ b/src/leadership/job_finalizer.cc
@@ -44,7 +44,7 @@
   swap.nonce = state_store_.nonce();
   swap.preconditions = job_preconditions(state_store_.view(), led.term(), job);
   swap.writes = {{codec::final_key(job),
-                  codec::encode_final(commit.phase, runtime_.wall(), swap.nonce), false},
+                  codec::encode_final(commit.phase, runtime_.wall_clock_now(), swap.nonce), false},
                  {codec::job_key(job), "", false}};
   for (const auto& [key, stored] : progress) {
     if (stored.unreadable) continue;
@@ -70,7 +70,7 @@
     persistence->in_flight = false;
     persistence->last_commit_at = runtime_.now();
     if (outcome == CasOutcome::unknown)
-      persistence->final_commit->compare_and_swap.doubt = true;
+      persistence->final_commit->compare_and_swap.in_doubt = true;
     else
       persistence->final_commit.reset();
   }
@@ -104,9 +104,9 @@
   for (const auto& job : jobs) {
     led.persistence[job].in_flight = true;
     swap.preconditions.push_back({codec::job_key(job), view.jobs.at(job).revision});
-    swap.writes.push_back({codec::final_key(job),
-                           codec::encode_final(JobPhase::cancelled, runtime_.wall(), swap.nonce),
-                           false});
+    swap.writes.push_back(
+        {codec::final_key(job),
+         codec::encode_final(JobPhase::cancelled, runtime_.wall_clock_now(), swap.nonce), false});
     swap.writes.push_back({codec::job_key(job), "", false});
   }
   swap.done = [this, term, jobs](CasOutcome outcome, std::uint64_t) {
--- a/src/leadership/job_persistence.cc
+++ b/src/leadership/job_persistence.cc
@@ -8,7 +8,7 @@
 // While the state store is silent, users alone are a reason to try a final commit; it is asked for
 // the lease all the time.
 void JobPersistenceSchedule::tick(LedPartition& led) {
-  const bool store_silent = runtime_.now() - state_store_.last_good() >= k::kStateSilentMs;
+  const bool store_silent = runtime_.now() - state_store_.last_executed_at() >= k::kStateSilentMs;
   for (const auto& job : led.scheduler->jobs_to_record()) persist_job(led, job, store_silent);
   if (store_silent) return;
   finalizer_.commit_cancelled_while_waiting(led);
--- a/src/leadership/leadership_votes.cc
+++ b/src/leadership/leadership_votes.cc
@@ -33,7 +33,7 @@
 std::optional<peer_rpc::VoteRequest> LeadershipVotes::next_request(
     std::vector<std::pair<int, std::uint64_t>> partitions) {
   const Ms now = runtime_.now();
-  if (partitions.empty() || now - state_store_.last_good() < k::kStateSilentMs ||
+  if (partitions.empty() || now - state_store_.last_executed_at() < k::kStateSilentMs ||
       now - requested_at_ < k::kVoteRequestEveryMs)
     return std::nullopt;
   requested_at_ = now;
--- a/src/leadership/machine_transfers.cc
+++ b/src/leadership/machine_transfers.cc
@@ -54,7 +54,7 @@
 void MachineTransfers::commit(const LeadershipTerm& term, const Machines& machines,
                               CompareAndSwap swap) {
   CompareAndSwap again = swap;
-  again.doubt = true;
+  again.in_doubt = true;
   swap.done = [this, term, machines, again = std::move(again)](CasOutcome outcome, std::uint64_t) {
     LedPartition* led = led_.find(term);
     if (!led) return;
--- a/src/leadership/partition_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -74,7 +74,7 @@
   const Ms accepted_at = entry.spec.accepted_at;
   const Ms ready_at = readiness ? readiness->at : accepted_at;
   const bool has_age = predates_claim || readiness.has_value();
-  const Ms age = has_age ? std::max<Ms>(0, runtime_.wall() - ready_at) : 0;
+  const Ms age = has_age ? std::max<Ms>(0, runtime_.wall_clock_now() - ready_at) : 0;
   const Ms waited = std::max<Ms>(0, ready_at - accepted_at);
   led.scheduler->open_job(entry.spec, entry.revision, predates_claim, done, age, waited);
   urgency_changed(job);
@@ -86,7 +86,7 @@
     if (!led.scheduler->has_job(job)) continue;
     if (!urgency) return led.scheduler->set_urgency(job, Priority::best_effort, std::nullopt);
     std::optional<Ms> finish_by = urgency->finish_by;
-    if (finish_by) *finish_by += runtime_.now() - runtime_.wall();
+    if (finish_by) *finish_by += runtime_.now() - runtime_.wall_clock_now();
     led.scheduler->set_urgency(job, urgency->priority, finish_by);
   }
 }
@@ -146,7 +146,7 @@
   }
   const JobPersistence* persistence = led.find_persistence(query.job);
   const bool may_be_final = persistence != nullptr && persistence->final_commit.has_value();
-  if (may_be_final || state_store_.replica().is_unresolved(query.job))
+  if (may_be_final || state_store_.replica().has_unresolved_prerequisite(query.job))
     return decline(done, JobQueryError::outcome_in_doubt);
   done(HttpReply{http_status::kOk, codec::job_status(query.job, {JobPhase::queued, 0, 0})});
 }
--- a/src/leadership/peer_directory.cc
+++ b/src/leadership/peer_directory.cc
@@ -9,7 +9,7 @@
 
 void PeerDirectory::receive(const std::string& node, const peer_rpc::PeerStatus& status) {
   peers_[node] = {runtime_.now(), status};
-  state_store_.peer_use(node, status.use);
+  state_store_.set_peer_usage(node, status.use);
 }
 
 bool PeerDirectory::is_fresh(const Entry& entry) const {
--- a/src/leadership/vote_granter.cc
+++ b/src/leadership/vote_granter.cc
@@ -28,7 +28,7 @@
 // had a lease that is ended before we have one, so none of its claims can land any more.
 bool VoteGranter::may_vote(const std::string& node, const peer_rpc::VoteRequest& request) const {
   if (!state_store_.view().ready || state_store_.lease_id() == 0 || request.ttl > k::kVoteMs ||
-      runtime_.now() - state_store_.last_good() < k::kStateSilentMs)
+      runtime_.now() - state_store_.last_executed_at() < k::kStateSilentMs)
     return false;
   return std::all_of(request.partitions.begin(), request.partitions.end(), [&](const auto& asked) {
     const auto& [partition, revision] = asked;
--- a/src/net/event_loop.cc
+++ b/src/net/event_loop.cc
@@ -72,7 +72,7 @@
 
 Ms EventLoop::now() const { return read_clock(CLOCK_MONOTONIC); }
 
-Ms EventLoop::wall() const { return read_clock(CLOCK_REALTIME); }
+Ms EventLoop::wall_clock_now() const { return read_clock(CLOCK_REALTIME); }
 
 double EventLoop::random() { return std::uniform_real_distribution<double>(0, 1)(random_engine_); }
 
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -37,7 +37,7 @@
   void run();
 
   Ms now() const override;
-  Ms wall() const override;
+  Ms wall_clock_now() const override;
   double random() override;
   std::string boot_id() const override { return boot_id_; }
   void after(Ms delay, std::function<void()> callback) override;
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -18,7 +18,7 @@
   evkeyvalq* headers = evhttp_request_get_output_headers(target);
   const std::string host = address.host + ":" + std::to_string(address.port);
   evhttp_add_header(headers, "Host", host.c_str());
-  if (request.once) evhttp_add_header(headers, "Connection", "close");
+  if (request.close_connection) evhttp_add_header(headers, "Connection", "close");
   if (request.body.empty()) return;
   evhttp_add_header(headers, "Content-Type", "application/json");
   evbuffer_add(evhttp_request_get_output_buffer(target), request.body.data(), request.body.size());
@@ -84,7 +84,7 @@
 
 void HttpClient::send(const HttpRequest& request, OnReply on_reply) {
   Call& call = open_.emplace_back(
-      Call{this, request.once, std::move(on_reply), take_connection(), open_.end()});
+      Call{this, request.close_connection, std::move(on_reply), take_connection(), open_.end()});
   call.self = std::prev(open_.end());
   evhttp_connection* connection = call.connection.get();
   const timeval timeout = to_timeval(request.timeout);
--- a/src/observability/latency_histogram.cc
+++ b/src/observability/latency_histogram.cc
@@ -20,18 +20,18 @@
 
 std::string LatencyHistogram::text(const std::string& name, const std::string& labels) const {
   std::string out;
-  double seen = histogram_.at(-1);
+  double cumulative_count = histogram_.at(-1);
   const auto& axis = histogram_.axis(0);
   for (int i = 0; i < axis.size(); ++i) {
-    seen += histogram_.at(i);
+    cumulative_count += histogram_.at(i);
     out += fmt::format("eiderreel_{}_bucket{{{},le=\"{:.4g}\"}} {}\n", name, labels,
-                       axis.bin(i).upper() / 1000, seen);
+                       axis.bin(i).upper() / 1000, cumulative_count);
   }
-  seen += histogram_.at(axis.size());
+  cumulative_count += histogram_.at(axis.size());
   out += fmt::format(
       "eiderreel_{0}_bucket{{{1},le=\"+Inf\"}} {2}\neiderreel_{0}_sum{{{1}}} {3}\n"
       "eiderreel_{0}_count{{{1}}} {2}\n",
-      name, labels, seen, sum_ms_ / 1000);
+      name, labels, cumulative_count, sum_ms_ / 1000);
   return out;
 }
 
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -22,7 +22,8 @@
   std::string path;  ///< Includes the query string.
   std::string body;
   Ms timeout = 0;
-  bool once = false;  ///< Close the connection after the reply instead of keeping it alive.
+  bool close_connection =
+      false;  ///< Close the connection after the reply instead of keeping it alive.
 };
 
 /// Clocks, timers, randomness and the network. All callbacks run on the event loop thread.
@@ -39,7 +40,7 @@
   virtual Ms now() const = 0;
   /// The wall clock in milliseconds since the epoch; the clocks of two nodes may differ by up to
   /// the setting skew_ms.
-  virtual Ms wall() const = 0;
+  virtual Ms wall_clock_now() const = 0;
   /// A random number in [0, 1).
   virtual double random() = 0;
   /// An ID that is unique for each start of the process.
--- a/src/state_store/cluster_view.h
+++ b/src/state_store/cluster_view.h
@@ -32,7 +32,7 @@
   struct NodeEntry {
     codec::NodeRecord record;
     std::uint64_t revision = 0;
-    Ms seen = 0;  // when its record under this lease first appeared, on the local steady clock
+    Ms first_seen = 0;  // local steady time when its record under this lease first appeared
   };
   /// An open job.
   struct JobEntry {
@@ -52,7 +52,7 @@
   DependencyGraph dependencies;                        // open jobs that have prerequisites
   // Final states of the most recently ended jobs. A job that is missing from this map may still
   // have ended: its final record must be read from the state store.
-  std::unordered_map<std::string, DependencyGraph::End> finals;
+  std::unordered_map<std::string, DependencyGraph::End> final_states;
 };
 
 }  // namespace eiderreel
--- a/src/state_store/compare_and_swap.h
+++ b/src/state_store/compare_and_swap.h
@@ -18,8 +18,8 @@
   superseded,  // an earlier attempt got no reply, and then the precondition that a key is absent
                // failed because of another writer's value; the earlier attempt may still be
                // executed once that key is deleted
-  refused,  // not executed
-  unknown,  // it may have been executed, or may still be
+  refused,     // not executed
+  unknown,     // it may have been executed, or may still be
 };
 
 /// The name of the outcome, for log messages.
@@ -48,7 +48,7 @@
   /// An earlier attempt got no conclusive reply and may have been executed. The refusal of a later
   /// attempt does not settle the earlier one, so a caller that retries after `unknown` must submit
   /// the same transaction with this flag still set.
-  bool doubt = false;
+  bool in_doubt = false;
   VersionBinding binding = VersionBinding::current;
 };
 
--- a/src/state_store/compare_and_swapper.h
+++ b/src/state_store/compare_and_swapper.h
@@ -42,27 +42,27 @@
   void submit(CompareAndSwap transaction);
 
  private:
-  struct Swap {
+  struct PendingTransaction {
     CompareAndSwap transaction;
-    int tries_left = 0;               // including the attempt in progress
-    std::uint64_t encoded_under = 0;  // revision of the node record at submission; see `as_encoded`
-    int reads_left = 0;               // attempts left to read back an in-doubt write
-    std::uint64_t conflict_revision = 0;  // store revision at which a precondition failed
+    int attempts_left = 0;                      // including the attempt in progress
+    std::uint64_t encoded_record_revision = 0;  // of the node record at submission
+    int reads_left = 0;                         // attempts left to read back an in-doubt write
+    std::uint64_t conflict_revision = 0;        // store revision at which a precondition failed
   };
-  using SwapPtr = std::shared_ptr<Swap>;
+  using PendingTransactionPtr = std::shared_ptr<PendingTransaction>;
 
-  void attempt(const SwapPtr& swap);
-  void on_reply(const SwapPtr& swap, const std::optional<codec::Precondition>& version_guard,
-                const HttpReply& reply);
-  void on_conflict(const SwapPtr& swap, const std::optional<codec::Precondition>& version_guard,
-                   const HttpReply& reply);
-  void retry(const SwapPtr& swap, Ms pause);
-  void end_without_record(const SwapPtr& swap);
-  void on_version_changed(const SwapPtr& swap, std::uint64_t guard_revision);
-  void read_back(const SwapPtr& swap);
-  void on_read_back(const SwapPtr& swap, const codec::StateRow& row);
-  bool is_bound(const Swap& swap) const;
-  codec::Precondition version_precondition(const Swap& swap) const;
+  void attempt(const PendingTransactionPtr& pending);
+  void on_reply(const PendingTransactionPtr& pending,
+                const std::optional<codec::Precondition>& version_guard, const HttpReply& reply);
+  void on_conflict(const PendingTransactionPtr& pending,
+                   const std::optional<codec::Precondition>& version_guard, const HttpReply& reply);
+  void retry(const PendingTransactionPtr& pending, Ms delay);
+  void end_without_record(const PendingTransactionPtr& pending);
+  void on_version_changed(const PendingTransactionPtr& pending, std::uint64_t guard_revision);
+  void read_back_write(const PendingTransactionPtr& pending);
+  void on_read_back(const PendingTransactionPtr& pending, const codec::StateRow& row);
+  bool is_bound_to_version(const PendingTransaction& pending) const;
+  codec::Precondition version_precondition(const PendingTransaction& pending) const;
 
   Dependencies dependencies_;
 };
--- a/src/state_store/controller_lease.cc
+++ b/src/state_store/controller_lease.cc
@@ -15,8 +15,8 @@
 
 // Invariant 6: the validity of a lease counts from when the request that granted or renewed it was
 // sent, shortened by the maximum clock drift and a safety margin.
-Ms valid_until(Ms sent) {
-  return sent + static_cast<Ms>(k::kLeaseTtlMs * (1 - k::kDrift)) - k::kLeaseMarginMs;
+Ms valid_until(Ms sent_at) {
+  return sent_at + static_cast<Ms>(k::kLeaseTtlMs * (1 - k::kDrift)) - k::kLeaseMarginMs;
 }
 
 }  // namespace
@@ -24,22 +24,22 @@
 void ControllerLease::tick() {
   if (id_ == 0)
     acquire();
-  else if (!renewing_ && runtime_.now() - last_renewal_ >= k::kLeaseRenewEveryMs)
+  else if (!renewing_ && runtime_.now() - last_renewal_sent_at_ >= k::kLeaseRenewEveryMs)
     renew();
 }
 
 void ControllerLease::acquire() {
   if (acquiring_) return;
   acquiring_ = true;
-  const std::uint64_t earlier = earlier_lease();
-  if (earlier != 0)
-    revoke_earlier(earlier);
+  const std::uint64_t earlier_lease_id = lease_of_earlier_process();
+  if (earlier_lease_id != 0)
+    revoke_earlier_lease(earlier_lease_id);
   else
     request_lease();
 }
 
 // The lease ID of an earlier process of this node, from its node record; 0 if there is none.
-std::uint64_t ControllerLease::earlier_lease() const {
+std::uint64_t ControllerLease::lease_of_earlier_process() const {
   const auto& nodes = replica_.view().nodes;
   const auto node = nodes.find(settings_.node);
   if (node == nodes.end() || node->second.record.boot == runtime_.boot_id()) return 0;
@@ -48,7 +48,7 @@
 
 // The earlier process has ended; until its lease expires, no controller can claim the partitions
 // bound to it.
-void ControllerLease::revoke_earlier(std::uint64_t lease_id) {
+void ControllerLease::revoke_earlier_lease(std::uint64_t lease_id) {
   spdlog::info("lease revoked node={} lease={} reason=earlier-process", settings_.node, lease_id);
   requests_.submit({.method = "DELETE",
                     .path = store_http::lease_path(lease_id),
@@ -56,7 +56,7 @@
                     .done = [this](const HttpReply& reply) {
                       const int status = reply.status;
                       if (status == http_status::kOk || status == http_status::kNotFound)
-                        replica_.forget_node(settings_.node);
+                        replica_.remove_node(settings_.node);
                       const bool failed = status == http_status::kNoAnswer ||
                                           status >= http_status::kTooManyRequests;
                       runtime_.after(failed ? k::kRetryMs : 0, [this] { acquiring_ = false; });
@@ -64,12 +64,12 @@
 }
 
 void ControllerLease::request_lease() {
-  const Ms sent = runtime_.now();
+  const Ms sent_at = runtime_.now();
   requests_.submit({.method = "POST",
                     .path = store_http::kLeasesPath,
                     .body = codec::lease_request_body(k::kLeaseTtlMs),
                     .priority = RequestPriority::urgent,
-                    .done = [this, sent](const HttpReply& reply) {
+                    .done = [this, sent_at](const HttpReply& reply) {
                       const auto lease_id = reply.status == http_status::kOk
                                                 ? codec::parse_lease_id(reply.body)
                                                 : codec::status_error(reply.status);
@@ -78,8 +78,8 @@
                         return;
                       }
                       id_ = *lease_id;
-                      last_renewal_ = sent;
-                      valid_until_ = valid_until(sent);
+                      last_renewal_sent_at_ = sent_at;
+                      valid_until_ = valid_until(sent_at);
                       acquiring_ = false;
                       spdlog::info("lease acquired node={} lease={}", settings_.node, id_);
                     }});
@@ -87,28 +87,28 @@
 
 void ControllerLease::renew() {
   renewing_ = true;
-  const Ms sent = runtime_.now();
-  last_renewal_ = sent;
+  const Ms sent_at = runtime_.now();
+  last_renewal_sent_at_ = sent_at;
   requests_.submit({.method = "POST",
                     .path = store_http::lease_renewal_path(id_),
                     .priority = RequestPriority::urgent,
-                    .done = [this, sent, lease_id = id_](const HttpReply& reply) {
-                      on_renewal_reply(lease_id, sent, reply.status);
+                    .done = [this, sent_at, lease_id = id_](const HttpReply& reply) {
+                      on_renewal_reply(lease_id, sent_at, reply.status);
                     }});
 }
 
-void ControllerLease::on_renewal_reply(std::uint64_t lease_id, Ms sent, int status) {
+void ControllerLease::on_renewal_reply(std::uint64_t lease_id, Ms sent_at, int status) {
   renewing_ = false;
   if (lease_id != id_) return;
   if (status == http_status::kOk)
-    valid_until_ = valid_until(sent);
+    valid_until_ = valid_until(sent_at);
   else if (status == http_status::kNotFound)
-    lose();
+    handle_loss();
   else  // retry the renewal after kRetryMs instead of a whole renewal interval
-    last_renewal_ = runtime_.now() - k::kLeaseRenewEveryMs + k::kRetryMs;
+    last_renewal_sent_at_ = runtime_.now() - k::kLeaseRenewEveryMs + k::kRetryMs;
 }
 
-void ControllerLease::lose() {
+void ControllerLease::handle_loss() {
   spdlog::warn("lease lost node={} lease={}", settings_.node, id_);
   id_ = 0;
   valid_until_ = 0;
--- a/src/state_store/controller_lease.h
+++ b/src/state_store/controller_lease.h
@@ -20,7 +20,7 @@
                   ReplicatedView& replica)
       : runtime_(runtime), settings_(settings), requests_(requests), replica_(replica) {}
   /// Sets the callback that is called each time the state store reports that the lease has ended.
-  void start(std::function<void()> lost) { on_lost_ = std::move(lost); }
+  void start(std::function<void()> on_lost) { on_lost_ = std::move(on_lost); }
   /// Acquires the lease if there is none, or renews it when that is due.
   void tick();
 
@@ -31,13 +31,13 @@
   bool alive() const { return id_ != 0 && runtime_.now() < valid_until_; }
 
  private:
-  std::uint64_t earlier_lease() const;
+  std::uint64_t lease_of_earlier_process() const;
   void acquire();
-  void revoke_earlier(std::uint64_t lease_id);
+  void revoke_earlier_lease(std::uint64_t lease_id);
   void request_lease();
   void renew();
-  void on_renewal_reply(std::uint64_t lease_id, Ms sent, int status);
-  void lose();
+  void on_renewal_reply(std::uint64_t lease_id, Ms sent_at, int status);
+  void handle_loss();
 
   Runtime& runtime_;
   const Settings& settings_;
@@ -46,7 +46,7 @@
   std::function<void()> on_lost_;
   std::uint64_t id_ = 0;
   Ms valid_until_ = 0;
-  Ms last_renewal_ = 0;  // when the last renewal request was sent
+  Ms last_renewal_sent_at_ = 0;  // when the last renewal request was sent
   bool acquiring_ = false;
   bool renewing_ = false;
 };
--- a/src/state_store/finished_jobs.cc
+++ b/src/state_store/finished_jobs.cc
@@ -9,7 +9,7 @@
 
 namespace eiderreel {
 
-void FinishedJobs::restart(std::uint64_t store_revision) {
+void FinishedJobs::clear(std::uint64_t store_revision) {
   complete_from_ = store_revision;
   jobs_.clear();
 }
@@ -23,10 +23,10 @@
 
 std::optional<std::vector<FinishedJob>> FinishedJobs::since(std::uint64_t store_revision) const {
   if (store_revision < complete_from_) return std::nullopt;
-  std::vector<FinishedJob> out;
-  std::copy_if(jobs_.begin(), jobs_.end(), std::back_inserter(out),
+  std::vector<FinishedJob> recent;
+  std::copy_if(jobs_.begin(), jobs_.end(), std::back_inserter(recent),
                [&](const FinishedJob& job) { return job.revision > store_revision; });
-  return out;
+  return recent;
 }
 
 }  // namespace eiderreel
--- a/src/state_store/finished_jobs.h
+++ b/src/state_store/finished_jobs.h
@@ -14,7 +14,7 @@
 class FinishedJobs {
  public:
   /// Clears the history. From then on it is complete for jobs that end after `store_revision`.
-  void restart(std::uint64_t store_revision);
+  void clear(std::uint64_t store_revision);
   /// Adds an ended job, and drops the oldest one beyond the limit.
   void add(FinishedJob job);
   /// All jobs that ended after `store_revision`, or nullopt if some of them may be missing.
--- a/src/state_store/followed_keys.h
+++ b/src/state_store/followed_keys.h
@@ -6,16 +6,16 @@
 namespace eiderreel::followed_keys {
 
 /// The common prefix of all watched keys.
-inline constexpr std::string_view kAll = "e/";
+inline constexpr std::string_view kCommonPrefix = "e/";
 /// Chunks of prerequisite lists that do not fit into the record of their job.
-inline constexpr std::string_view kPrerequisiteChunks = "e/awaits/";
-inline constexpr std::string_view kFinals = "e/final/";
-inline constexpr std::string_view kJobs = "e/job/";
-inline constexpr std::string_view kMachines = "e/machine/";
-inline constexpr std::string_view kNodes = "e/node/";
-inline constexpr std::string_view kPartitions = "e/part/";
+inline constexpr std::string_view kPrerequisiteChunksPrefix = "e/awaits/";
+inline constexpr std::string_view kFinalRecordsPrefix = "e/final/";
+inline constexpr std::string_view kJobsPrefix = "e/job/";
+inline constexpr std::string_view kMachinesPrefix = "e/machine/";
+inline constexpr std::string_view kNodesPrefix = "e/node/";
+inline constexpr std::string_view kPartitionsPrefix = "e/part/";
 
-inline bool is_under(const std::string& key, std::string_view prefix) {
+inline bool has_prefix(const std::string& key, std::string_view prefix) {
   return key.starts_with(prefix);
 }
 
--- a/src/state_store/node_record_writer.cc
+++ b/src/state_store/node_record_writer.cc
@@ -55,8 +55,9 @@
 std::vector<codec::Precondition> NodeRecordWriter::preconditions() const {
   if (!dependencies_.acting_version.enabled()) return {};
   const ClusterView& view = dependencies_.replica.view();
-  const auto known = view.nodes.find(dependencies_.settings.node);
-  const std::uint64_t known_revision = known == view.nodes.end() ? 0 : known->second.revision;
+  const auto known_entry = view.nodes.find(dependencies_.settings.node);
+  const std::uint64_t known_revision =
+      known_entry == view.nodes.end() ? 0 : known_entry->second.revision;
   return {{codec::version_key(), view.cluster.revision},
           {codec::node_key(dependencies_.settings.node), known_revision}};
 }
--- a/src/state_store/prerequisite_chunks.h
+++ b/src/state_store/prerequisite_chunks.h
@@ -20,31 +20,34 @@
  public:
   /// Decides whether a chunk is orphaned, given its job, the nonce in its key, and when this node
   /// first received it.
-  using IsOrphaned = std::function<bool(const std::string& job, const std::string& nonce, Ms seen)>;
+  using IsOrphaned =
+      std::function<bool(const std::string& job, const std::string& nonce, Ms first_seen)>;
 
   /// Records that a chunk exists, first received at `now`, without storing its content.
-  void note(const codec::PrerequisiteChunkKey& key, Ms now);
+  void add_key(const codec::PrerequisiteChunkKey& key, Ms now);
   /// Stores the content of a chunk.
   void set_jobs(const codec::PrerequisiteChunkKey& key, std::vector<std::string> jobs);
   /// Removes a chunk that was deleted from the state store.
   void erase(const codec::PrerequisiteChunkKey& key);
   /// Moves out the prerequisites of all `count` chunks of a job's record, in order. The keys of the
   /// chunks are kept, without their content. Returns nullopt if some chunks have not arrived yet.
-  std::optional<std::vector<std::string>> take(const std::string& job, const std::string& nonce,
-                                               std::size_t count);
+  std::optional<std::vector<std::string>> take_prerequisites(const std::string& job,
+                                                             const std::string& nonce,
+                                                             std::size_t count);
 
   /// The keys of all chunks.
   std::vector<std::string> keys() const;
   /// The keys of at most `max_count` orphaned chunks. The chunks of a job are listed last to first.
-  std::vector<std::string> orphaned(std::size_t most, const IsOrphaned& is_orphaned) const;
+  std::vector<std::string> orphaned_keys(std::size_t max_count,
+                                         const IsOrphaned& is_orphaned) const;
 
  private:
-  using ListKey = std::pair<std::string, std::string>;  // job ID and nonce of its record
+  using RecordKey = std::pair<std::string, std::string>;  // job ID and nonce of its record
   struct Chunk {
     std::vector<std::string> jobs;
-    Ms seen = 0;
+    Ms first_seen = 0;
   };
-  std::map<ListKey, std::map<std::size_t, Chunk>> lists_;
+  std::map<RecordKey, std::map<std::size_t, Chunk>> chunks_by_record_;
 };
 
 }  // namespace eiderreel
--- a/src/state_store/rate_limiter.cc
+++ b/src/state_store/rate_limiter.cc
@@ -8,32 +8,32 @@
 
 namespace k = constants;
 
-void RateLimiter::TokenBucket::set_up(double limit, double controllers) {
-  total = limit * k::kBudgetShare;
-  even = total / controllers;
-  rate = even;
-  tokens = even;
+void RateLimiter::TokenBucket::configure(double limit, double controllers) {
+  total_limit = limit * k::kBudgetShare;
+  even_share = total_limit / controllers;
+  rate = even_share;
+  tokens = even_share;
 }
 
 void RateLimiter::TokenBucket::refill(double seconds, double unused) {
-  rate = even + unused;
+  rate = even_share + unused;
   tokens = std::min(rate, tokens + seconds * rate);
-  used *= std::exp(-seconds * 1000.0 / k::kUseMs);
+  used_rate *= std::exp(-seconds * 1000.0 / k::kUseMs);
 }
 
-void RateLimiter::TokenBucket::take(double count) {
+void RateLimiter::TokenBucket::consume(double count) {
   tokens -= count;
-  used += count * 1000.0 / k::kUseMs;
+  used_rate += count * 1000.0 / k::kUseMs;
 }
 
 RateLimiter::RateLimiter(const Settings& settings) {
   const auto controllers = static_cast<double>(settings.peers.size() + 1);
-  requests_.set_up(settings.state_rps, controllers);
-  changes_.set_up(settings.state_write_rps, controllers);
+  requests_.configure(settings.state_rps, controllers);
+  changes_.configure(settings.state_write_rps, controllers);
 }
 
-void RateLimiter::set_peer_use(const std::string& node, const StoreUsage& use, Ms now) {
-  peers_[node] = {.at = now, .use = use};
+void RateLimiter::set_peer_usage(const std::string& node, const StoreUsage& usage, Ms now) {
+  peer_usage_[node] = {.reported_at = now, .usage = usage};
 }
 
 // A peer without a recent status counts as using its whole share. Of the unused shares of the
@@ -43,10 +43,10 @@
   const double seconds = static_cast<double>(now - refilled_at_) / 1000.0;
   refilled_at_ = now;
   StoreUsage unused;
-  for (const auto& [node, peer] : peers_) {
-    if (now - peer.at >= k::kStatusStaleMs) continue;
-    unused.requests += std::max(0.0, requests_.even - peer.use.requests);
-    unused.changes += std::max(0.0, changes_.even - peer.use.changes);
+  for (const auto& [node, peer] : peer_usage_) {
+    if (now - peer.reported_at >= k::kStatusStaleMs) continue;
+    unused.requests += std::max(0.0, requests_.even_share - peer.usage.requests);
+    unused.changes += std::max(0.0, changes_.even_share - peer.usage.changes);
   }
   requests_.refill(seconds, unused.requests * k::kBorrowedShare);
   changes_.refill(seconds, unused.changes * k::kBorrowedShare);
@@ -56,19 +56,21 @@
 // changes, and a refusal by the state store itself costs only one more attempt.
 bool RateLimiter::allows(RequestPriority request_priority, int changes) const {
   if (request_priority == RequestPriority::urgent) return true;
-  const double debt = request_priority == RequestPriority::user ? 1 : 0;
-  if (requests_.tokens - 1 < -debt * (requests_.total - requests_.even)) return false;
+  const double debt_factor = request_priority == RequestPriority::user ? 1 : 0;
+  if (requests_.tokens - 1 < -debt_factor * (requests_.total_limit - requests_.even_share))
+    return false;
   if (changes == 0) return true;
-  const double want = std::min<double>(changes, changes_.rate - 0.5);
+  const double required_tokens = std::min<double>(changes, changes_.rate - 0.5);
   const double reserve =
-      request_priority == RequestPriority::progress ? changes_.even * k::kProgressKeep : 0;
-  return changes_.tokens - want - std::min(reserve, changes_.rate - 0.5 - want) >=
-         -debt * (changes_.total - changes_.even);
+      request_priority == RequestPriority::progress ? changes_.even_share * k::kProgressKeep : 0;
+  return changes_.tokens - required_tokens -
+             std::min(reserve, changes_.rate - 0.5 - required_tokens) >=
+         -debt_factor * (changes_.total_limit - changes_.even_share);
 }
 
-void RateLimiter::take(int changes) {
-  requests_.take(1);
-  changes_.take(changes);
+void RateLimiter::consume(int changes) {
+  requests_.consume(1);
+  changes_.consume(changes);
 }
 
 }  // namespace eiderreel
--- a/src/state_store/rate_limiter.h
+++ b/src/state_store/rate_limiter.h
@@ -21,38 +21,40 @@
   void start(Ms now) { refilled_at_ = now; }
 
   /// The rates that this controller uses, to be reported to its peers.
-  StoreUsage use() const { return {.requests = requests_.used, .changes = changes_.used}; }
+  StoreUsage usage() const {
+    return {.requests = requests_.used_rate, .changes = changes_.used_rate};
+  }
   /// Stores the rates that a peer reported at `now`.
-  void set_peer_use(const std::string& node, const StoreUsage& use, Ms now);
+  void set_peer_usage(const std::string& node, const StoreUsage& usage, Ms now);
 
   /// Adds the tokens that have accrued since the last call.
   void refill(Ms now);
   /// Whether a request with `changes` puts and deletes may be sent now.
   bool allows(RequestPriority request_priority, int changes) const;
   /// Takes the tokens of a request with `changes` puts and deletes that is sent now.
-  void take(int changes);
+  void consume(int changes);
   /// This controller's even share of the request limit, in requests per second.
-  double even_requests() const { return requests_.even; }
+  double request_share_per_s() const { return requests_.even_share; }
 
  private:
   struct TokenBucket {
-    double total = 0;   // per second, for all controllers together
-    double even = 0;    // per second, the even share of one controller
-    double rate = 0;    // per second, including what is borrowed from peers
-    double tokens = 0;  // negative: overdrawn
-    double used = 0;    // per second, exponential average over kUseMs
-    void set_up(double limit, double controllers);
+    double total_limit = 0;  // per second, for all controllers together
+    double even_share = 0;   // per second, the even share of one controller
+    double rate = 0;         // per second, including what is borrowed from peers
+    double tokens = 0;       // below 0: overdrawn
+    double used_rate = 0;    // per second, exponential average over kUseMs
+    void configure(double limit, double controllers);
     void refill(double seconds, double unused);
-    void take(double count);
+    void consume(double count);
   };
-  struct PeerUse {
-    Ms at = 0;
-    StoreUsage use;
+  struct PeerUsage {
+    Ms reported_at = 0;
+    StoreUsage usage;
   };
 
   TokenBucket requests_;
   TokenBucket changes_;
-  std::map<std::string, PeerUse> peers_;
+  std::map<std::string, PeerUsage> peer_usage_;
   Ms refilled_at_ = 0;
 };
 
--- a/src/state_store/replicated_view.cc
+++ b/src/state_store/replicated_view.cc
@@ -23,7 +23,7 @@
 
 // Whether a row is not newer than the existing entry for its key.
 template <typename Map, typename Key>
-bool is_outdated(const Map& entries, const Key& key, const codec::StateRow& row) {
+bool is_stale(const Map& entries, const Key& key, const codec::StateRow& row) {
   const auto entry = entries.find(key);
   return entry != entries.end() && entry->second.revision >= row.revision;
 }
@@ -32,22 +32,24 @@
 
 // -------------------------------------------------------------------------------- loading
 
-void ReplicatedView::begin_load(std::uint64_t store_revision) { finished_.restart(store_revision); }
+void ReplicatedView::begin_load(std::uint64_t store_revision) {
+  finished_jobs_.clear(store_revision);
+}
 
-void ReplicatedView::applied_up_to(std::uint64_t store_revision) {
+void ReplicatedView::mark_applied(std::uint64_t store_revision) {
   view_.store_revision = store_revision;
-  if (!std::exchange(view_.ready, true)) find_unresolved();
+  if (!std::exchange(view_.ready, true)) find_unresolved_prerequisites();
 }
 
 // Once all keys are loaded, a prerequisite without an open or final record may have ended before
 // the load, in which case no later change will report it.
-void ReplicatedView::find_unresolved() {
+void ReplicatedView::find_unresolved_prerequisites() {
   for (const auto& id : view_.dependencies.prerequisites())
-    if (!is_open(id)) unresolved_.insert(id);
+    if (!is_open(id)) unresolved_prerequisites_.insert(id);
 }
 
 // The keys of all entries of the view except final states, which are never removed by a reload.
-std::vector<std::string> ReplicatedView::known_keys() const {
+std::vector<std::string> ReplicatedView::view_keys() const {
   std::vector<std::string> keys;
   for (const auto& [id, entry] : view_.jobs) keys.push_back(codec::job_key(id));
   for (const auto& [id, entry] : view_.machines) keys.push_back(codec::machine_key(id));
@@ -59,43 +61,43 @@
   return keys;
 }
 
-void ReplicatedView::remove_missing(const std::set<std::string>& loaded,
+void ReplicatedView::remove_missing(const std::set<std::string>& listed_keys,
                                     std::uint64_t store_revision) {
-  for (const auto& key : known_keys())
-    if (!loaded.contains(key)) apply(deleted_row(key, store_revision), true);
+  for (const auto& key : view_keys())
+    if (!listed_keys.contains(key)) apply(deleted_row(key, store_revision), true);
 }
 
 // --------------------------------------------------------------------------------- rows
 
 void ReplicatedView::apply(const codec::StateRow& row, bool announce) {
-  using followed_keys::is_under;
+  using followed_keys::has_prefix;
   const std::string name = codec::key_name(row.key);
-  if (is_under(row.key, followed_keys::kJobs))
+  if (has_prefix(row.key, followed_keys::kJobsPrefix))
     apply_job(name, row, announce);
-  else if (is_under(row.key, followed_keys::kPrerequisiteChunks))
+  else if (has_prefix(row.key, followed_keys::kPrerequisiteChunksPrefix))
     apply_chunk(row);
-  else if (is_under(row.key, followed_keys::kFinals))
-    apply_final(name, row);
-  else if (is_under(row.key, followed_keys::kMachines))
+  else if (has_prefix(row.key, followed_keys::kFinalRecordsPrefix))
+    apply_final_record(name, row);
+  else if (has_prefix(row.key, followed_keys::kMachinesPrefix))
     apply_machine(name, row, announce);
-  else if (is_under(row.key, followed_keys::kNodes))
+  else if (has_prefix(row.key, followed_keys::kNodesPrefix))
     apply_node(name, row);
   else if (row.key == codec::version_key())
     apply_version(row);
-  else if (is_under(row.key, followed_keys::kPartitions))
+  else if (has_prefix(row.key, followed_keys::kPartitionsPrefix))
     apply_partition(std::atoi(name.c_str()), row, announce);
 }
 
-void ReplicatedView::apply_final(const std::string& id, const codec::StateRow& row) {
+void ReplicatedView::apply_final_record(const std::string& id, const codec::StateRow& row) {
   if (!row.final_phase) return;
   // Records of earlier builds lack the time of the end; the current time is an upper bound.
-  const Ms at = row.final_at.value_or(runtime_.wall());
-  remember_final(id, {.phase = *row.final_phase, .revision = row.revision, .at = at});
+  const Ms at = row.final_at.value_or(runtime_.wall_clock_now());
+  add_final_state(id, {.phase = *row.final_phase, .revision = row.revision, .at = at});
 }
 
 void ReplicatedView::apply_machine(const std::string& id, const codec::StateRow& row,
                                    bool announce) {
-  if (is_outdated(view_.machines, id, row)) return;
+  if (is_stale(view_.machines, id, row)) return;
   if (row.deleted)
     view_.machines.erase(id);
   else if (row.machine)
@@ -104,7 +106,7 @@
 }
 
 void ReplicatedView::apply_partition(int partition, const codec::StateRow& row, bool announce) {
-  if (is_outdated(view_.partitions, partition, row)) return;
+  if (is_stale(view_.partitions, partition, row)) return;
   if (row.deleted) {
     view_.partitions.erase(partition);
   } else if (row.partition) {
@@ -116,7 +118,7 @@
 }
 
 void ReplicatedView::apply_node(const std::string& name, const codec::StateRow& row) {
-  if (is_outdated(view_.nodes, name, row)) return;
+  if (is_stale(view_.nodes, name, row)) return;
   if (row.deleted) {
     view_.nodes.erase(name);
     return;
@@ -124,12 +126,12 @@
   if (!row.node) return;
   // A rewrite of the record under the same lease only changes the acting version, so the time at
   // which the controller was first seen is kept.
-  const auto known = view_.nodes.find(name);
-  const bool same_lease = known != view_.nodes.end() &&
-                          known->second.record.boot == row.node->boot &&
-                          known->second.record.lease_id == row.node->lease_id;
-  const Ms seen = same_lease ? known->second.seen : runtime_.now();
-  view_.nodes[name] = {.record = *row.node, .revision = row.revision, .seen = seen};
+  const auto previous = view_.nodes.find(name);
+  const bool same_lease = previous != view_.nodes.end() &&
+                          previous->second.record.boot == row.node->boot &&
+                          previous->second.record.lease_id == row.node->lease_id;
+  const Ms first_seen = same_lease ? previous->second.first_seen : runtime_.now();
+  view_.nodes[name] = {.record = *row.node, .revision = row.revision, .first_seen = first_seen};
 }
 
 void ReplicatedView::apply_version(const codec::StateRow& row) {
@@ -149,10 +151,11 @@
 // record is removed.
 void ReplicatedView::apply_commit(const std::vector<codec::Write>& writes,
                                   std::uint64_t store_revision) {
-  for (const bool deletes : {false, true}) {
+  for (const bool deletes_only : {false, true}) {
     for (const auto& write : writes) {
       const bool is_delete = write.value.empty();
-      if (is_delete != deletes || !followed_keys::is_under(write.key, followed_keys::kAll))
+      if (is_delete != deletes_only ||
+          !followed_keys::has_prefix(write.key, followed_keys::kCommonPrefix))
         continue;
       const std::string text = codec::stored_row(write.key, write.value, store_revision);
       if (const auto row = codec::parse_row(text)) apply(*row, true);
@@ -170,51 +173,53 @@
 }
 
 void ReplicatedView::close_job(const std::string& id, std::uint64_t revision, bool announce) {
-  incomplete_.erase(id);
+  incomplete_jobs_.erase(id);
   const auto job = view_.jobs.find(id);
   if (job == view_.jobs.end() || job->second.revision > revision) return;
   view_.jobs.erase(job);
   view_.dependencies.close(id);
   // If changes were missed, the open record may disappear although no final record was received.
   if (view_.ready && !is_final(id) && view_.dependencies.is_prerequisite(id))
-    unresolved_.insert(id);
+    unresolved_prerequisites_.insert(id);
   if (announce) events_.job_closed(id);
-  publish(view_.dependencies.take_effects());
+  raise_events(view_.dependencies.take_effects());
 }
 
 void ReplicatedView::open_job(const std::string& id, const codec::StateRow& row, bool announce) {
-  const auto more = prerequisite_chunks_.take(id, row.nonce, row.prerequisite_chunks);
-  if (!more) {
-    incomplete_[id] = row;
+  const auto chunked_prerequisites =
+      prerequisite_chunks_.take_prerequisites(id, row.nonce, row.prerequisite_chunks);
+  if (!chunked_prerequisites) {
+    incomplete_jobs_[id] = row;
     return;
   }
   JobSpec spec = *row.job;
-  spec.prerequisites.insert(spec.prerequisites.end(), more->begin(), more->end());
-  incomplete_.erase(id);
-  unresolved_.erase(id);
+  spec.prerequisites.insert(spec.prerequisites.end(), chunked_prerequisites->begin(),
+                            chunked_prerequisites->end());
+  incomplete_jobs_.erase(id);
+  unresolved_prerequisites_.erase(id);
   ClusterView::JobEntry& entry = view_.jobs[id];
   entry = {.spec = std::move(spec), .revision = row.revision, .nonce = row.nonce};
   if (!entry.spec.prerequisites.empty()) open_dependent(entry.spec, entry.revision);
   if (announce) events_.job_opened(id);
-  publish(view_.dependencies.take_effects());
+  raise_events(view_.dependencies.take_effects());
 }
 
 void ReplicatedView::open_dependent(JobSpec& spec, std::uint64_t revision) {
   std::vector<std::string> pending;
   std::vector<DependencyGraph::End> ended;
   for (std::string& id : std::exchange(spec.prerequisites, {})) {
-    const auto end = view_.finals.find(id);
-    if (end != view_.finals.end()) {
+    const auto end = view_.final_states.find(id);
+    if (end != view_.final_states.end()) {
       ended.push_back(end->second);
       continue;
     }
-    if (view_.ready && !is_open(id)) unresolved_.insert(id);
+    if (view_.ready && !is_open(id)) unresolved_prerequisites_.insert(id);
     pending.push_back(std::move(id));
   }
   view_.dependencies.open(spec, revision, pending, ended);
 }
 
-void ReplicatedView::publish(const DependencyGraph::Effects& effects) {
+void ReplicatedView::raise_events(const DependencyGraph::Effects& effects) {
   for (const auto& id : effects.ready) events_.job_ready(id);
   for (const auto& id : effects.urgency_changed)
     if (is_open(id)) events_.urgency_changed(id);
@@ -230,55 +235,57 @@
     return;
   }
   if (!row.prerequisites) return;
-  prerequisite_chunks_.note(*key, runtime_.now());
+  prerequisite_chunks_.add_key(*key, runtime_.now());
   if (is_open(key->job) || is_final(key->job)) return;  // the content is no longer needed
   prerequisite_chunks_.set_jobs(*key, row.prerequisites->jobs);
-  const auto waiting = incomplete_.find(key->job);
-  if (waiting == incomplete_.end()) return;
+  const auto waiting = incomplete_jobs_.find(key->job);
+  if (waiting == incomplete_jobs_.end()) return;
   const codec::StateRow job = waiting->second;  // a copy, since open_job() erases the entry
   open_job(key->job, job, view_.ready);
 }
 
-bool ReplicatedView::is_orphaned(const std::string& job, const std::string& nonce, Ms seen) const {
+bool ReplicatedView::is_orphaned(const std::string& job, const std::string& nonce,
+                                 Ms first_seen) const {
   if (is_final(job)) return true;
   const auto open = view_.jobs.find(job);
   if (open != view_.jobs.end()) return open->second.nonce != nonce;
-  return !incomplete_.contains(job) && runtime_.now() - seen >= k::kOrphanedChunksMs;
+  return !incomplete_jobs_.contains(job) && runtime_.now() - first_seen >= k::kOrphanedChunksMs;
 }
 
-std::vector<std::string> ReplicatedView::orphaned_chunks(std::size_t most) const {
-  return prerequisite_chunks_.orphaned(
-      most, [this](const std::string& job, const std::string& nonce, Ms seen) {
-        return is_orphaned(job, nonce, seen);
+std::vector<std::string> ReplicatedView::orphaned_chunks(std::size_t max_count) const {
+  return prerequisite_chunks_.orphaned_keys(
+      max_count, [this](const std::string& job, const std::string& nonce, Ms first_seen) {
+        return is_orphaned(job, nonce, first_seen);
       });
 }
 
 // --------------------------------------------------------------------------- final states
 
-void ReplicatedView::remember_final(const std::string& id, const DependencyGraph::End& end) {
-  unresolved_.erase(id);
-  if (!view_.finals.emplace(id, end).second) return;
-  finished_.add({.id = id, .phase = end.phase, .revision = end.revision});
-  final_order_.push_back(id);
-  if (final_order_.size() > k::kFinalCache) {
-    view_.finals.erase(final_order_.front());
-    final_order_.pop_front();
+void ReplicatedView::add_final_state(const std::string& id, const DependencyGraph::End& end) {
+  unresolved_prerequisites_.erase(id);
+  if (!view_.final_states.emplace(id, end).second) return;
+  finished_jobs_.add({.id = id, .phase = end.phase, .revision = end.revision});
+  final_states_order_.push_back(id);
+  if (final_states_order_.size() > k::kFinalCache) {
+    view_.final_states.erase(final_states_order_.front());
+    final_states_order_.pop_front();
   }
   view_.dependencies.end(id, end);
-  publish(view_.dependencies.take_effects());
+  raise_events(view_.dependencies.take_effects());
 }
 
 std::optional<std::vector<FinishedJob>> ReplicatedView::finished_since(
     std::uint64_t store_revision) const {
   if (!view_.ready) return std::nullopt;
-  return finished_.since(store_revision);
+  return finished_jobs_.since(store_revision);
 }
 
 // ------------------------------------------------------------------------ reports of peers
 
 void ReplicatedView::merge_finished(const std::vector<FinishedJob>& finished) {
   for (const auto& job : finished) {
-    remember_final(job.id, {.phase = job.phase, .revision = job.revision, .at = runtime_.wall()});
+    add_final_state(
+        job.id, {.phase = job.phase, .revision = job.revision, .at = runtime_.wall_clock_now()});
     apply(deleted_row(codec::job_key(job.id), job.revision), true);
   }
 }
--- a/src/state_store/request_queue.cc
+++ b/src/state_store/request_queue.cc
@@ -15,7 +15,7 @@
 namespace {
 
 // Whether the reply shows that the state store executes requests of this controller.
-bool is_executed(int status) {
+bool shows_execution(int status) {
   return status != http_status::kNoAnswer && status != http_status::kServiceUnavailable &&
          status != http_status::kTooManyRequests;
 }
@@ -24,8 +24,9 @@
 
 // A request beyond the number that can be sent within the timeout would expire in the queue anyway.
 bool RequestQueue::is_full() const {
-  const double most = std::max(k::kPendingLeast, settings_.state_rps * k::kStateTimeoutMs / 1000);
-  return static_cast<double>(queue_.size()) >= most;
+  const double max_size =
+      std::max(k::kPendingLeast, settings_.state_rps * k::kStateTimeoutMs / 1000);
+  return static_cast<double>(queue_.size()) >= max_size;
 }
 
 void RequestQueue::submit(StoreRequest request) {
@@ -33,8 +34,8 @@
     refuse(std::move(request.done));
     return;
   }
-  const Ms expires = runtime_.now() + request.timeout;
-  enqueue({.request = std::move(request), .expires = expires});
+  const Ms expires_at = runtime_.now() + request.timeout;
+  enqueue({.request = std::move(request), .expires_at = expires_at});
 }
 
 void RequestQueue::enqueue(Pending pending) {
@@ -49,7 +50,7 @@
 // Replies 429 to a request that was not sent. The callback runs after the caller's submit() has
 // returned, as with any other reply.
 void RequestQueue::refuse(std::function<void(const HttpReply&)> done) {
-  ++counters_.refused_here;
+  ++counters_.refused_locally;
   runtime_.after(
       0, [done = std::move(done)] { done({.status = http_status::kTooManyRequests, .body = ""}); });
 }
@@ -59,14 +60,14 @@
   rate_limiter_.refill(now);
   while (!queue_.empty()) {
     Pending& front = queue_.front();
-    if (front.expires <= now && front.request.priority != RequestPriority::urgent) {
+    if (front.expires_at <= now && front.request.priority != RequestPriority::urgent) {
       auto done = std::move(front.request.done);
       queue_.pop_front();
       refuse(std::move(done));
       continue;
     }
     if (!rate_limiter_.allows(front.request.priority, front.request.changes)) return;
-    rate_limiter_.take(front.request.changes);
+    rate_limiter_.consume(front.request.changes);
     Pending next = std::move(front);
     queue_.pop_front();
     send(std::move(next));
@@ -85,11 +86,11 @@
   auto sent = std::make_shared<Pending>(std::move(pending));
   runtime_.http(http_request(sent->request), [this, sent](const HttpReply& reply) {
     ++counters_.replies[reply.status];
-    if (is_executed(reply.status)) last_good_ = runtime_.now();
+    if (shows_execution(reply.status)) last_executed_at_ = runtime_.now();
     // The state store rejected the request over its rate limit and did not execute it, so it can be
     // sent again unchanged.
     if (reply.status == http_status::kTooManyRequests &&
-        sent->request.priority == RequestPriority::user && runtime_.now() < sent->expires) {
+        sent->request.priority == RequestPriority::user && runtime_.now() < sent->expires_at) {
       runtime_.after(k::kOverLimitMs, [this, sent] { enqueue(std::move(*sent)); });
       return;
     }
--- a/src/state_store/request_queue.h
+++ b/src/state_store/request_queue.h
@@ -34,7 +34,7 @@
   /// Totals since the start of the process.
   struct Counters {
     std::map<int, std::uint64_t> replies;  // by HTTP status; 0: no reply
-    std::uint64_t refused_here = 0;        // rejected by this queue, not by the state store
+    std::uint64_t refused_locally = 0;     // rejected by this queue, not by the state store
   };
 
   RequestQueue(Runtime& runtime, const Settings& settings, RateLimiter& rate_limiter)
@@ -46,7 +46,7 @@
   void send_allowed();
 
   /// When the last reply arrived that shows that the state store executes this node's requests.
-  Ms last_good() const { return last_good_; }
+  Ms last_executed_at() const { return last_executed_at_; }
   /// The totals since the start of the process.
   const Counters& counters() const { return counters_; }
   /// The number of requests that wait to be sent.
@@ -55,7 +55,7 @@
  private:
   struct Pending {
     StoreRequest request;
-    Ms expires = 0;  // end of its timeout, counted from its submission
+    Ms expires_at = 0;  // end of its timeout, counted from its submission
   };
   bool is_full() const;
   void enqueue(Pending pending);
@@ -67,7 +67,7 @@
   const Settings& settings_;
   RateLimiter& rate_limiter_;
   std::deque<Pending> queue_;  // by priority, then by arrival
-  Ms last_good_ = 0;
+  Ms last_executed_at_ = 0;
   Counters counters_;
 };
 
--- a/src/state_store/state_store_client.cc
+++ b/src/state_store/state_store_client.cc
@@ -74,8 +74,8 @@
   reader_.list(prefix, std::move(done));
 }
 
-void StateStoreClient::read_ends(std::vector<std::string> ids, StoreCallback<void> done) {
-  reader_.read_ends(std::move(ids), std::move(done));
+void StateStoreClient::read_final_records(std::vector<std::string> ids, StoreCallback<void> done) {
+  reader_.read_final_records(std::move(ids), std::move(done));
 }
 
 void StateStoreClient::find_accepted(std::vector<std::string> ids,
@@ -87,8 +87,8 @@
   waiters_.when_applied(store_revision, std::move(done));
 }
 
-void StateStoreClient::peer_use(const std::string& node, const StoreUsage& use) {
-  rate_limiter_.set_peer_use(node, use, runtime_.now());
+void StateStoreClient::set_peer_usage(const std::string& node, const StoreUsage& usage) {
+  rate_limiter_.set_peer_usage(node, usage, runtime_.now());
 }
 
 }  // namespace eiderreel
--- a/src/state_store/state_store_client.h
+++ b/src/state_store/state_store_client.h
@@ -60,7 +60,7 @@
   /// Invariant 6: whether the lease is valid, less clock drift and a safety margin.
   bool lease_alive() const { return lease_.alive(); }
   /// When the last reply arrived that shows that the state store executes this node's requests.
-  Ms last_good() const { return requests_.last_good(); }
+  Ms last_executed_at() const { return requests_.last_executed_at(); }
   /// The cluster version under which this controller acts.
   const upgrade::ActingVersion& acting_version() const { return acting_version_; }
   /// The policy for storing progress under the acting version.
@@ -80,7 +80,7 @@
   void list(const std::string& prefix, StoreCallback<std::vector<codec::StateRow>> done);
   /// Reads the final records of these jobs into the view; jobs without one are skipped. On an error
   /// some records may not have been read.
-  void read_ends(std::vector<std::string> ids, StoreCallback<void> done);
+  void read_final_records(std::vector<std::string> ids, StoreCallback<void> done);
   /// Finds which of these jobs were ever accepted, that is, have an open or a final record.
   void find_accepted(std::vector<std::string> ids, StoreCallback<std::set<std::string>> done);
   /// Calls back once the view contains all changes that were committed before this call.
@@ -89,13 +89,13 @@
   void when_applied(std::uint64_t store_revision, std::function<void()> done);
 
   /// The request and change rates that this node uses, to be reported to its peers.
-  StoreUsage use() const { return rate_limiter_.use(); }
+  StoreUsage usage() const { return rate_limiter_.usage(); }
   /// Stores the rates that a peer reported.
-  void peer_use(const std::string& node, const StoreUsage& use);
+  void set_peer_usage(const std::string& node, const StoreUsage& usage);
   /// Replies by status, and requests that the queue of this node refused.
   const Counters& counters() const { return requests_.counters(); }
   /// The number of requests that wait for the rate limiter.
-  std::size_t pending() const { return requests_.size(); }
+  std::size_t pending_requests() const { return requests_.size(); }
 
  private:
   Runtime& runtime_;
--- a/src/state_store/store_error.cc
+++ b/src/state_store/store_error.cc
@@ -8,7 +8,7 @@
 namespace eiderreel {
 namespace {
 
-StoreErrorKind kind_of(int status) {
+StoreErrorKind kind_of_status(int status) {
   switch (status) {
     case http_status::kNoAnswer:
       return StoreErrorKind::no_answer;
@@ -19,19 +19,20 @@
     case http_status::kServiceUnavailable:
       return StoreErrorKind::unavailable;
     default:
-      return leaves_in_doubt(status) ? StoreErrorKind::server_error : StoreErrorKind::rejected;
+      return may_have_been_executed(status) ? StoreErrorKind::server_error
+                                            : StoreErrorKind::rejected;
   }
 }
 
 }  // namespace
 
-bool leaves_in_doubt(int status) {
+bool may_have_been_executed(int status) {
   if (status == http_status::kNoAnswer) return true;
   return status >= http_status::kServerError && status != http_status::kServiceUnavailable;
 }
 
 StoreError error_of_reply(int status, std::string operation, std::string key) {
-  return {.kind = kind_of(status),
+  return {.kind = kind_of_status(status),
           .http_status = status,
           .operation = std::move(operation),
           .key = std::move(key)};
--- a/src/state_store/store_error.h
+++ b/src/state_store/store_error.h
@@ -36,7 +36,7 @@
 /// Whether a request with this reply status may have been executed: true if there was no reply, or
 /// a 5xx status other than 503. The protocol guarantees that a request with reply 503 was not
 /// executed.
-bool leaves_in_doubt(int status);
+bool may_have_been_executed(int status);
 
 /// Builds the error for a reply that an operation cannot use, from the reply's status.
 StoreError error_of_reply(int status, std::string operation, std::string key);
--- a/src/state_store/store_reader.cc
+++ b/src/state_store/store_reader.cc
@@ -18,9 +18,8 @@
   StoreCallback<std::vector<codec::StateRow>> done;
 };
 
-struct StoreReader::EndsQuery {
-  std::vector<std::string>
-      ids;  // not read yet, in descending order, so that the next one is at the back
+struct StoreReader::FinalRecordsQuery {
+  std::vector<std::string> ids;  // not read yet, descending: the next one is at the back
   StoreCallback<void> done;
 };
 
@@ -93,15 +92,15 @@
 
 // ------------------------------------------------------------------------ final records
 
-void StoreReader::read_ends(std::vector<std::string> ids, StoreCallback<void> done) {
+void StoreReader::read_final_records(std::vector<std::string> ids, StoreCallback<void> done) {
   std::sort(ids.begin(), ids.end(), std::greater<>());
-  EndsQuery query{.ids = std::move(ids), .done = std::move(done)};
-  read_next_ends(std::make_shared<EndsQuery>(std::move(query)));
+  FinalRecordsQuery query{.ids = std::move(ids), .done = std::move(done)};
+  read_next_final_records(std::make_shared<FinalRecordsQuery>(std::move(query)));
 }
 
 // One page settles all IDs up to its last key, so there are at most as many reads as IDs, and far
 // fewer if the IDs are close together.
-void StoreReader::read_next_ends(const std::shared_ptr<EndsQuery>& query) {
+void StoreReader::read_next_final_records(const std::shared_ptr<FinalRecordsQuery>& query) {
   if (query->ids.empty()) {
     query->done({});
     return;
@@ -116,21 +115,22 @@
       query->done(tl::unexpected(page.error()));
       return;
     }
-    apply_ends(*query, *page);
-    read_next_ends(query);
+    apply_final_records(*query, *page);
+    read_next_final_records(query);
   });
 }
 
 // Applies the final records of the requested jobs, and removes the IDs that the page covers.
-void StoreReader::apply_ends(EndsQuery& query, const codec::StateList& page) {
-  const std::set<std::string> asked(query.ids.begin(), query.ids.end());
+void StoreReader::apply_final_records(FinalRecordsQuery& query, const codec::StateList& page) {
+  const std::set<std::string> requested_ids(query.ids.begin(), query.ids.end());
   for (const auto& row : page.rows)
-    if (asked.contains(codec::key_name(row.key))) replica_.apply(row, true);
-  const bool last = !page.more || page.rows.empty();
-  const std::string covered = last ? "" : codec::key_name(page.rows.back().key);
+    if (requested_ids.contains(codec::key_name(row.key))) replica_.apply(row, true);
+  const bool is_last_page = !page.more || page.rows.empty();
+  const std::string last_covered_id = is_last_page ? "" : codec::key_name(page.rows.back().key);
   // At least one ID is removed, so that every read makes progress.
   query.ids.pop_back();
-  while (!query.ids.empty() && (last || query.ids.back() <= covered)) query.ids.pop_back();
+  while (!query.ids.empty() && (is_last_page || query.ids.back() <= last_covered_id))
+    query.ids.pop_back();
 }
 
 // ------------------------------------------------------------------------------ existence
@@ -149,18 +149,18 @@
     query->done(std::move(query->found));
     return;
   }
-  const auto group =
+  const auto batch_size =
       static_cast<std::size_t>(settings_.state_txn_ops * k::kPreconditionsPerChange / 2);
-  const std::size_t end = std::min(ids.size(), query->next + group);
+  const std::size_t batch_end = std::min(ids.size(), query->next + batch_size);
   std::vector<codec::Precondition> absent;
-  for (std::size_t i = query->next; i < end; ++i) {
+  for (std::size_t i = query->next; i < batch_end; ++i) {
     absent.push_back({codec::job_key(ids[i]), 0});
     absent.push_back({codec::final_key(ids[i]), 0});
   }
-  query->next = end;
+  query->next = batch_end;
   // A query with more than one batch gets a lower priority, so that it does not delay other user
   // requests.
-  const auto priority = ids.size() > group ? RequestPriority::fleet : RequestPriority::user;
+  const auto priority = ids.size() > batch_size ? RequestPriority::fleet : RequestPriority::user;
   compare(absent, priority, [this, query](const StoreResult<Comparison>& comparison) {
     if (!comparison) {
       query->done(tl::unexpected(comparison.error()));
@@ -196,21 +196,23 @@
 // The reply to any comparison contains the newest revision. The replica reaches it through the
 // watch; if it does not within kStateTimeoutMs, the caller gets an error.
 void StoreReader::catch_up(const StoreCallback<void>& done) {
-  auto once = [done, called = std::make_shared<bool>(false)](const StoreResult<void>& result) {
+  auto call_done_once = [done,
+                         called = std::make_shared<bool>(false)](const StoreResult<void>& result) {
     if (!std::exchange(*called, true)) done(result);
   };
   compare({{codec::node_key(settings_.node), 0}}, RequestPriority::user,
-          [this, once](const StoreResult<Comparison>& comparison) {
+          [this, call_done_once](const StoreResult<Comparison>& comparison) {
             if (!comparison) {
-              once(tl::unexpected(comparison.error()));
+              call_done_once(tl::unexpected(comparison.error()));
               return;
             }
-            waiters_.when_applied(comparison->store_revision, [once] { once({}); });
-            runtime_.after(k::kStateTimeoutMs, [once] {
-              once(tl::unexpected(StoreError{.kind = StoreErrorKind::replica_behind,
-                                             .http_status = http_status::kOk,
-                                             .operation = "catch up",
-                                             .key = ""}));
+            waiters_.when_applied(comparison->store_revision,
+                                  [call_done_once] { call_done_once({}); });
+            runtime_.after(k::kStateTimeoutMs, [call_done_once] {
+              call_done_once(tl::unexpected(StoreError{.kind = StoreErrorKind::replica_behind,
+                                                       .http_status = http_status::kOk,
+                                                       .operation = "catch up",
+                                                       .key = ""}));
             });
           });
 }
--- a/src/state_store/store_reader.h
+++ b/src/state_store/store_reader.h
@@ -54,7 +54,7 @@
   void read_page(const PageQuery& query, StoreCallback<codec::StateList> done);
   /// Reads the final records of these jobs into the replica; jobs without one are skipped. On an
   /// error some records may not have been read.
-  void read_ends(std::vector<std::string> ids, StoreCallback<void> done);
+  void read_final_records(std::vector<std::string> ids, StoreCallback<void> done);
   /// Finds which of these jobs were ever accepted, that is, have an open or a final record.
   void find_accepted(std::vector<std::string> ids, StoreCallback<std::set<std::string>> done);
   /// Calls back once the replica contains all changes that were committed before this call, or with
@@ -62,14 +62,14 @@
   void catch_up(const StoreCallback<void>& done);
 
  private:
-  struct EndsQuery;
+  struct FinalRecordsQuery;
   struct AcceptedQuery;
   struct ListQuery;
   void compare(const std::vector<codec::Precondition>& preconditions, RequestPriority priority,
                StoreCallback<Comparison> done);
   void list_next(const std::shared_ptr<ListQuery>& query);
-  void read_next_ends(const std::shared_ptr<EndsQuery>& query);
-  void apply_ends(EndsQuery& query, const codec::StateList& page);
+  void read_next_final_records(const std::shared_ptr<FinalRecordsQuery>& query);
+  void apply_final_records(FinalRecordsQuery& query, const codec::StateList& page);
   void find_next_accepted(const std::shared_ptr<AcceptedQuery>& query);
 
   Runtime& runtime_;
--- a/src/state_store/store_watcher.cc
+++ b/src/state_store/store_watcher.cc
@@ -17,23 +17,24 @@
 // last, and only if cluster versions are enabled.
 StoreWatcher::StoreWatcher(const Dependencies& dependencies)
     : dependencies_(dependencies),
-      prefixes_{std::string(followed_keys::kPrerequisiteChunks), std::string(followed_keys::kJobs),
-                std::string(followed_keys::kMachines), std::string(followed_keys::kNodes),
-                std::string(followed_keys::kPartitions)} {
+      prefixes_{
+          std::string(followed_keys::kPrerequisiteChunksPrefix),
+          std::string(followed_keys::kJobsPrefix), std::string(followed_keys::kMachinesPrefix),
+          std::string(followed_keys::kNodesPrefix), std::string(followed_keys::kPartitionsPrefix)} {
   if (dependencies.settings.upgrade.enabled) prefixes_.push_back(codec::version_prefix());
 }
 
 // -------------------------------------------------------------------------------- listing
 
 void StoreWatcher::start() {
-  loaded_.clear();
+  listed_keys_.clear();
   revision_ = 0;
   load_page(0, "");
 }
 
 void StoreWatcher::load_page(std::size_t prefix_index, const std::string& after) {
   if (prefix_index == prefixes_.size()) {
-    dependencies_.replica.remove_missing(loaded_, revision_);
+    dependencies_.replica.remove_missing(listed_keys_, revision_);
     watch(0);
     return;
   }
@@ -56,7 +57,7 @@
     dependencies_.replica.begin_load(revision_);
   }
   for (const auto& row : page.rows) {
-    loaded_.insert(row.key);
+    listed_keys_.insert(row.key);
     dependencies_.replica.apply(row, true);
   }
   if (page.more && !page.rows.empty())
@@ -70,7 +71,7 @@
 void StoreWatcher::watch(Ms wait) {
   dependencies_.requests.submit(
       {.method = "GET",
-       .path = store_http::watch_path(std::string(followed_keys::kAll), revision_, wait),
+       .path = store_http::watch_path(std::string(followed_keys::kCommonPrefix), revision_, wait),
        .timeout = wait + k::kWatchSlackMs,
        .priority = RequestPriority::urgent,
        .done = [this](const HttpReply& reply) { on_watch_reply(reply); }});
@@ -89,16 +90,16 @@
     return;
   }
   apply_changes(*changes);
-  dependencies_.runtime.after(pause(), [this] { watch(k::kWatchWaitMs); });
+  dependencies_.runtime.after(watch_interval(), [this] { watch(k::kWatchWaitMs); });
 }
 
 void StoreWatcher::apply_changes(const codec::StateList& changes) {
   const ClusterView& view = dependencies_.replica.view();
   for (const auto& row : changes.rows) dependencies_.replica.apply(row, view.ready);
   revision_ = std::max(revision_, changes.store_revision);
-  const bool first = !view.ready;
-  dependencies_.replica.applied_up_to(revision_);
-  if (first) {
+  const bool first_load = !view.ready;
+  dependencies_.replica.mark_applied(revision_);
+  if (first_load) {
     spdlog::info("view ready node={} revision={} jobs={} machines={}", dependencies_.settings.node,
                  view.store_revision, view.jobs.size(), view.machines.size());
   }
@@ -106,9 +107,9 @@
 }
 
 // Limits the watch to the share kWatchShare of this node's requests, however often the keys change.
-Ms StoreWatcher::pause() const {
-  const double requests_per_s = dependencies_.rate_limiter.even_requests() * k::kWatchShare;
-  return std::max(k::kWatchPauseMs, static_cast<Ms>(1000.0 / requests_per_s));
+Ms StoreWatcher::watch_interval() const {
+  const double watches_per_s = dependencies_.rate_limiter.request_share_per_s() * k::kWatchShare;
+  return std::max(k::kWatchPauseMs, static_cast<Ms>(1000.0 / watches_per_s));
 }
 
 }  // namespace eiderreel
--- a/src/state_store/store_watcher.h
+++ b/src/state_store/store_watcher.h
@@ -43,12 +43,12 @@
   void watch(Ms wait);
   void on_watch_reply(const HttpReply& reply);
   void apply_changes(const codec::StateList& changes);
-  Ms pause() const;
+  Ms watch_interval() const;
 
   Dependencies dependencies_;
   std::vector<std::string> prefixes_;  // listed in this order
   std::uint64_t revision_ = 0;         // changes up to this revision are applied
-  std::set<std::string> loaded_;       // keys found by the current listing
+  std::set<std::string> listed_keys_;  // keys found by the current listing
 };
 
 }  // namespace eiderreel
--- a/src/upgrade/coordinator.cc
+++ b/src/upgrade/coordinator.cc
@@ -155,7 +155,7 @@
 // operator.
 bool Coordinator::may_step_by_itself() const {
   return partition_leader_.is_cluster_leader() && !in_flight_ && !step_in_doubt_ &&
-         settings_.upgrade.windows.contains(runtime_.wall());
+         settings_.upgrade.windows.contains(runtime_.wall_clock_now());
 }
 
 // Only steps that can be taken back.
--- a/src/upgrade/progress_census_taker.cc
+++ b/src/upgrade/progress_census_taker.cc
@@ -18,16 +18,16 @@
       std::string job = codec::done_key_job(row.key);
       if (!state_store_.view().jobs.contains(job)) unknown.insert(std::move(job));
     }
-    state_store_.read_ends({unknown.begin(), unknown.end()},
-                           [this, done, rows = std::move(*rows)](const auto& read) {
-                             if (!read) return done(std::nullopt);
-                             done(count(rows));
-                           });
+    state_store_.read_final_records({unknown.begin(), unknown.end()},
+                                    [this, done, rows = std::move(*rows)](const auto& read) {
+                                      if (!read) return done(std::nullopt);
+                                      done(count(rows));
+                                    });
   });
 }
 
 ProgressCensus ProgressCensusTaker::count(const std::vector<codec::StateRow>& rows) const {
-  const auto& finals = state_store_.view().finals;
+  const auto& finals = state_store_.view().final_states;
   ProgressCensus census;
   for (const auto& row : rows) {
     if (finals.contains(codec::done_key_job(row.key))) continue;
--- a/src/upgrade/status_report.cc
+++ b/src/upgrade/status_report.cc
@@ -40,7 +40,7 @@
 }
 
 bool StatusReporter::is_current() const {
-  const Ms silent_ms = runtime_.now() - state_store_.last_good();
+  const Ms silent_ms = runtime_.now() - state_store_.last_executed_at();
   return state_store_.view().ready && silent_ms < k::kWatchWaitMs + k::kStateSilentMs;
 }
 
@@ -72,7 +72,7 @@
   report.controllers = controller_facts(view, settings_);
   report.conversion = conversion();
   report.automatic = settings_.upgrade.automatic;
-  report.in_maintenance_window = settings_.upgrade.windows.contains(runtime_.wall());
+  report.in_maintenance_window = settings_.upgrade.windows.contains(runtime_.wall_clock_now());
   return report;
 }
 
--- a/src/upgrade/step_history.cc
+++ b/src/upgrade/step_history.cc
@@ -16,7 +16,7 @@
 StepRecord StepHistory::record_of(const StepOrder& order, const StepPlan& plan,
                                   StepOutcome outcome) const {
   StepRecord record;
-  record.at = runtime_.wall();
+  record.at = runtime_.wall_clock_now();
   record.who = order.who;
   record.reason = order.reason;
   record.request = order.request;
--- a/tests/standin/controller_runtime.h
+++ b/tests/standin/controller_runtime.h
@@ -44,7 +44,7 @@
     return static_cast<Ms>(static_cast<double>(cluster_.now_) *
                            (1 + 0.0002 * static_cast<double>(index_)));
   }
-  Ms wall() const override { return cluster_.now_ + 1000000; }
+  Ms wall_clock_now() const override { return cluster_.now_ + 1000000; }
   double random() override { return std::uniform_real_distribution<double>(0, 1)(random_); }
   std::string boot_id() const override { return "b" + std::to_string(life_); }
   void after(Ms delay, std::function<void()> callback) override {
--- a/tests/state_store_modules_test.cc
+++ b/tests/state_store_modules_test.cc
@@ -36,7 +36,7 @@
   };
 
   Ms now() const override { return time; }
-  Ms wall() const override { return time; }
+  Ms wall_clock_now() const override { return time; }
   double random() override { return 0; }
   std::string boot_id() const override { return "boot"; }
   void after(Ms delay, std::function<void()> call) override {
@@ -94,7 +94,7 @@
   runtime_.time = constants::kStateTimeoutMs;
   queue_.send_allowed();
   EXPECT_EQ(queue_.size(), 0u);
-  EXPECT_EQ(queue_.counters().refused_here, 1u);
+  EXPECT_EQ(queue_.counters().refused_locally, 1u);
   ASSERT_EQ(runtime_.timers.size(), 1u);
   EXPECT_TRUE(statuses_.empty()) << "its caller hears after its own call has returned";
   runtime_.timers[0].call();
@@ -106,14 +106,14 @@
   runtime_.sent.at(0).done({http_status::kTooManyRequests, ""});
   ASSERT_EQ(runtime_.timers.size(), 1u);
   EXPECT_EQ(runtime_.timers[0].delay, constants::kOverLimitMs);
-  EXPECT_EQ(queue_.last_good(), 0);
+  EXPECT_EQ(queue_.last_executed_at(), 0);
   runtime_.time = 100;
   runtime_.timers[0].call();
   ASSERT_EQ(runtime_.sent.size(), 2u);
   EXPECT_EQ(runtime_.sent[1].request.path, "/user");
   runtime_.sent[1].done({http_status::kOk, ""});
   EXPECT_EQ(statuses_, std::vector<int>{http_status::kOk});
-  EXPECT_EQ(queue_.last_good(), 100);
+  EXPECT_EQ(queue_.last_executed_at(), 100);
 }
 
 TEST(StoreError, SaysWhatWentWrong) {
@@ -129,9 +129,9 @@
 }
 
 TEST(StoreError, OnlySomeStatusesLeaveARequestInDoubt) {
-  for (const int status : {0, 500, 502, 504}) EXPECT_TRUE(leaves_in_doubt(status)) << status;
+  for (const int status : {0, 500, 502, 504}) EXPECT_TRUE(may_have_been_executed(status)) << status;
   for (const int status : {200, 400, 404, 409, 429, 503})
-    EXPECT_FALSE(leaves_in_doubt(status)) << status;
+    EXPECT_FALSE(may_have_been_executed(status)) << status;
 }
 
 TEST(StoreHttp, BuildsThePathsOfTheProtocol) {
@@ -154,17 +154,18 @@
 
 TEST(PrerequisiteChunks, AreTakenOnceAllAreHereAndStayKnown) {
   PrerequisiteChunks chunks;
-  chunks.note({"job", "nonce", 1}, 10);
+  chunks.add_key({"job", "nonce", 1}, 10);
   chunks.set_jobs({"job", "nonce", 1}, {"c"});
-  EXPECT_FALSE(chunks.take("job", "nonce", 2));
-  chunks.note({"job", "nonce", 0}, 20);
+  EXPECT_FALSE(chunks.take_prerequisites("job", "nonce", 2));
+  chunks.add_key({"job", "nonce", 0}, 20);
   chunks.set_jobs({"job", "nonce", 0}, {"a", "b"});
-  EXPECT_FALSE(chunks.take("job", "another try", 2));
-  EXPECT_EQ(chunks.take("job", "nonce", 2), (std::vector<std::string>{"a", "b", "c"}));
+  EXPECT_FALSE(chunks.take_prerequisites("job", "another try", 2));
+  EXPECT_EQ(chunks.take_prerequisites("job", "nonce", 2),
+            (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_EQ(chunks.keys(),
             (std::vector<std::string>{"e/awaits/job/nonce/0", "e/awaits/job/nonce/1"}));
   const auto all = [](const std::string&, const std::string&, Ms) { return true; };
-  EXPECT_EQ(chunks.orphaned(1, all), std::vector<std::string>{"e/awaits/job/nonce/1"});
+  EXPECT_EQ(chunks.orphaned_keys(1, all), std::vector<std::string>{"e/awaits/job/nonce/1"});
   chunks.erase({"job", "nonce", 0});
   chunks.erase({"job", "nonce", 1});
   EXPECT_TRUE(chunks.keys().empty());
@@ -172,7 +173,7 @@
 
 TEST(FinishedJobs, TellsOnlyWhatIsComplete) {
   FinishedJobs finished;
-  finished.restart(100);
+  finished.clear(100);
   finished.add({"a", JobPhase::done, 101});
   finished.add({"b", JobPhase::cancelled, 103});
   EXPECT_FALSE(finished.since(99));
