--- a/src/state_store/compare_and_swapper.h
+++ b/src/state_store/compare_and_swapper.h
@@ -1,4 +1,5 @@
-// Carries out transactions: bound to a version, tried again, in doubt until there is proof.
+// Executes compare-and-swap transactions: binds them to the cluster version, retries them and
+// resolves uncertain outcomes.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -19,11 +20,11 @@
 
 namespace eiderreel {
 
-/// Sends transactions until their outcome is known or their tries are used up. What was committed
-/// is in the replica before the caller hears of it.
+/// Sends transactions until their outcome is known or their attempts are used up. Committed writes
+/// are applied to the replica before the caller is notified.
 class CompareAndSwapper {
  public:
-  /// What it works with; all of it outlives it.
+  /// References to the collaborators, which must outlive this object.
   struct Dependencies {
     Runtime& runtime;
     const Settings& settings;
@@ -37,31 +38,31 @@
   };
   explicit CompareAndSwapper(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
-  /// Carries out the transaction, and calls its `done` once.
+  /// Executes the transaction and calls its `done` exactly once.
   void submit(CompareAndSwap transaction);
 
  private:
-  struct Swap {
+  struct PendingTransaction {
     CompareAndSwap transaction;
-    int tries_left = 0;                   // with the one that is under way
-    std::uint64_t encoded_under = 0;      // revision of the controller's record, see `as_encoded`
-    int reads_left = 0;                   // of the reads that settle a doubt
-    std::uint64_t conflict_revision = 0;  // the store's revision when a precondition failed
+    int attempts_left = 0;                      // including the attempt in progress
+    std::uint64_t encoded_record_revision = 0;  // of the node record at submission
+    int reads_left = 0;                         // attempts left to read back an in-doubt write
+    std::uint64_t conflict_revision = 0;        // store revision at which a precondition failed
   };
-  using SwapPtr = std::shared_ptr<Swap>;
+  using PendingTransactionPtr = std::shared_ptr<PendingTransaction>;
 
-  void attempt(const SwapPtr& swap);
-  void on_reply(const SwapPtr& swap, const std::optional<codec::Precondition>& version_guard,
-                const HttpReply& reply);
-  void on_conflict(const SwapPtr& swap, const std::optional<codec::Precondition>& version_guard,
-                   const HttpReply& reply);
-  void retry(const SwapPtr& swap, Ms pause);
-  void end_without_record(const SwapPtr& swap);
-  void on_version_changed(const SwapPtr& swap, std::uint64_t guard_revision);
-  void read_back(const SwapPtr& swap);
-  void on_read_back(const SwapPtr& swap, const codec::StateRow& row);
-  bool is_bound(const Swap& swap) const;
-  codec::Precondition version_precondition(const Swap& swap) const;
+  void attempt(const PendingTransactionPtr& pending);
+  void on_reply(const PendingTransactionPtr& pending,
+                const std::optional<codec::Precondition>& version_guard, const HttpReply& reply);
+  void on_conflict(const PendingTransactionPtr& pending,
+                   const std::optional<codec::Precondition>& version_guard, const HttpReply& reply);
+  void retry(const PendingTransactionPtr& pending, Ms delay);
+  void end_without_record(const PendingTransactionPtr& pending);
+  void on_version_changed(const PendingTransactionPtr& pending, std::uint64_t guard_revision);
+  void read_back_write(const PendingTransactionPtr& pending);
+  void on_read_back(const PendingTransactionPtr& pending, const codec::StateRow& row);
+  bool is_bound_to_version(const PendingTransaction& pending) const;
+  codec::Precondition version_precondition(const PendingTransaction& pending) const;
 
   Dependencies dependencies_;
 };
--- a/src/state_store/store_error.cc
+++ b/src/state_store/store_error.cc
@@ -1,4 +1,4 @@
-// Classifies failed requests to the state store and describes them.
+// Classifies failed requests to the state store and formats them for messages.
 #include "state_store/store_error.h"
 
 #include <utility>
@@ -8,30 +8,31 @@
 namespace eiderreel {
 namespace {
 
-StoreErrorKind kind_of(int status) {
+StoreErrorKind kind_of_status(int status) {
   switch (status) {
     case http_status::kNoAnswer:
       return StoreErrorKind::no_answer;
     case http_status::kOk:
-      return StoreErrorKind::malformed_reply;  // a good status, so its body was of no use
+      return StoreErrorKind::malformed_reply;  // the status is a success, so the body was malformed
     case http_status::kTooManyRequests:
       return StoreErrorKind::throttled;
     case http_status::kServiceUnavailable:
       return StoreErrorKind::unavailable;
     default:
-      return leaves_in_doubt(status) ? StoreErrorKind::server_error : StoreErrorKind::rejected;
+      return may_have_been_executed(status) ? StoreErrorKind::server_error
+                                            : StoreErrorKind::rejected;
   }
 }
 
 }  // namespace
 
-bool leaves_in_doubt(int status) {
+bool may_have_been_executed(int status) {
   if (status == http_status::kNoAnswer) return true;
   return status >= http_status::kServerError && status != http_status::kServiceUnavailable;
 }
 
 StoreError error_of_reply(int status, std::string operation, std::string key) {
-  return {.kind = kind_of(status),
+  return {.kind = kind_of_status(status),
           .http_status = status,
           .operation = std::move(operation),
           .key = std::move(key)};
