--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -18,7 +18,7 @@
       submission_(runtime, settings, state_store, partition_leader,
                   [this](const std::string& id, const Reply& reply) { look_up(id, false, reply); }),
       // Answers may come late, even to a process started since: no number is used twice.
-      next_query_(static_cast<std::uint64_t>(runtime.random() * k::kFirstNumberRange)) {}
+      next_query_(static_cast<std::uint64_t>(runtime.random() * k::kMaxInitialRequestNumber)) {}
 
 // ------------------------------------------------------------------------------ requests
 
@@ -75,7 +75,7 @@
   const auto& finals = state_store_.view().finals;
   if (auto final_record = finals.find(id); final_record != finals.end())
     return reply_final(id, final_record->second.phase, cancel, reply);
-  if (!cancel && runtime_.now() - answer.asked_at > k::kOpenAnswerMs)
+  if (!cancel && runtime_.now() - answer.asked_at > k::kMaxOpenAnswerAgeMs)
     return reply_error(reply, UserError::answer_too_old);
   reply(answer.status, std::move(answer.body));
 }
--- a/src/api/prerequisite_chunk_writer.cc
+++ b/src/api/prerequisite_chunk_writer.cc
@@ -28,11 +28,11 @@
                                                         const std::string& nonce) const {
   std::vector<std::string> values;
   codec::PrerequisiteChunk chunk;
-  std::size_t bytes = k::kRecordOverhead;
+  std::size_t bytes = k::kRecordOverheadBytes;
   auto close_chunk = [&] {
     values.push_back(codec::encode(chunk, nonce));
     chunk.jobs.clear();
-    bytes = k::kRecordOverhead;
+    bytes = k::kRecordOverheadBytes;
   };
   for (const auto& id : job.prerequisites) {
     const std::size_t size = id.size() + kJsonBytesPerId;
--- a/src/cli/status.cc
+++ b/src/cli/status.cc
@@ -83,7 +83,7 @@
 
 int status(const std::string& addr, bool json) {
   if (!is_address(addr)) return fail_at(addr, "not an address of the form IP:PORT");
-  const HttpReply reply = http_call(addr, "GET", "/status", "", constants::kStatusTimeoutMs);
+  const HttpReply reply = http_call(addr, "GET", "/status", "", constants::kStatusCommandTimeoutMs);
   if (reply.status == http_status::kNoAnswer) return fail_at(addr, "no answer");
   if (reply.status != http_status::kOk)
     return fail_at(addr, fmt::format("answered {}", reply.status));
--- a/src/cli/upgrade.cc
+++ b/src/cli/upgrade.cc
@@ -37,7 +37,7 @@
 
 Answer call_controller(const std::string& addr, const std::string& method, const std::string& path,
                        const std::string& body) {
-  Answer answer{addr, http_call(addr, method, path, body, k::kUpgradeCallMs), {}};
+  Answer answer{addr, http_call(addr, method, path, body, k::kUpgradeCallTimeoutMs), {}};
   answer.json.Parse(answer.reply.body.c_str());
   return answer;
 }
@@ -120,9 +120,10 @@
 // and the durable version shows whether it was.
 int resolve(const UpgradeCall& call, const upgrade::StepOrder& order) {
   print_error(kCommand, "no answer, looking for the outcome of request " + order.request);
-  for (Ms waited = 0; waited < k::kUpgradeResolveMs; waited += k::kUpgradeResolveEveryMs) {
+  for (Ms waited = 0; waited < k::kUpgradeResolveTimeoutMs;
+       waited += k::kUpgradeResolveIntervalMs) {
     if (const auto outcome = look_up(call, order)) return *outcome;
-    std::this_thread::sleep_for(std::chrono::milliseconds(k::kUpgradeResolveEveryMs));
+    std::this_thread::sleep_for(std::chrono::milliseconds(k::kUpgradeResolveIntervalMs));
   }
   return fail(exit_code::kOutcomeUnknown,
               "unknown: request " + order.request +
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -49,7 +49,7 @@
 }
 
 void CloudClient::list_machines(const std::string& since, CloudCallback<codec::MachineList> done) {
-  std::string path = "/machines?page=" + std::to_string(k::kListPage);
+  std::string path = "/machines?page=" + std::to_string(k::kListPageItems);
   if (!since.empty()) path += "&since=" + since;
   call("GET", path, "", [done = std::move(done)](const CloudResult<std::string>& body) {
     done(parsed(body, codec::parse_machines));
@@ -80,7 +80,7 @@
   const Ms now = runtime_.now();
   const double seconds = static_cast<double>(now - refilled_at_) / 1000.0;
   tokens_ =
-      std::min(settings_.cloud_rps, tokens_ + seconds * settings_.cloud_rps * k::kBudgetShare);
+      std::min(settings_.cloud_rps, tokens_ + seconds * settings_.cloud_rps * k::kUsableRateShare);
   refilled_at_ = now;
   if (tokens_ < 1) return false;
   tokens_ -= 1;
@@ -91,7 +91,7 @@
 void CloudClient::call(const std::string& method, const std::string& path, const std::string& body,
                        BodyCallback done) {
   if (!take_token()) {
-    runtime_.after(k::kRetryMs,
+    runtime_.after(k::kRetryDelayMs,
                    [done = std::move(done)] { done(tl::unexpected(CloudError::over_limit)); });
     return;
   }
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -52,7 +52,8 @@
   void list_machines(const std::string& since, CloudCallback<codec::MachineList> done);
   /// The names of the machines that were provisioned, which may be fewer than asked for.
   void provision(const ProvisionRequest& request, CloudCallback<std::vector<std::string>> done);
-  /// Deletes machines, constants::kTerminateMost at most. Once it succeeds they are surely gone.
+  /// Deletes machines, constants::kMaxTerminateMachines at most. Once it succeeds they are surely
+  /// gone.
   void terminate(const std::vector<std::string>& machines, CloudCallback<void> done);
 
   /// How often the cloud has answered with each HTTP status; 0: not at all.
--- a/src/codec/job_fields.cc
+++ b/src/codec/job_fields.cc
@@ -30,7 +30,7 @@
 void read_resources(FieldReader& reader, JobSpec& spec) {
   std::uint64_t tasks = 0;
   reader.required(wire::job::kTasks, tasks);
-  reader.check(wire::job::kTasks, tasks > 0 && tasks <= constants::kTasksMax);
+  reader.check(wire::job::kTasks, tasks > 0 && tasks <= constants::kMaxJobTasks);
   spec.tasks = static_cast<std::uint32_t>(tasks);
   read_amount(reader, wire::job::kCpus, spec.cpus);
   reader.check(wire::job::kCpus, spec.cpus > 0);
--- a/src/codec/progress_form.cc
+++ b/src/codec/progress_form.cc
@@ -94,9 +94,9 @@
   if (!bytes) return tl::unexpected(bytes.error());
   try {
     const Roaring bitmap = Roaring::readSafe(bytes->data(), bytes->size());
-    const bool sane = bitmap.cardinality() <= constants::kTasksMax &&
-                      (bitmap.isEmpty() || bitmap.maximum() < constants::kTasksMax - first);
-    if (first >= constants::kTasksMax || !sane)
+    const bool sane = bitmap.cardinality() <= constants::kMaxJobTasks &&
+                      (bitmap.isEmpty() || bitmap.maximum() < constants::kMaxJobTasks - first);
+    if (first >= constants::kMaxJobTasks || !sane)
       return bitmap_error("more tasks than a job may have");
     std::vector<std::uint32_t> tasks(bitmap.cardinality());
     bitmap.toUint32Array(tasks.data());
--- a/src/codec/record_fields.cc
+++ b/src/codec/record_fields.cc
@@ -39,11 +39,11 @@
 std::optional<std::uint32_t> first_task(const Value& value) {
   std::uint64_t chunk = 0;
   std::uint64_t first = 0;
-  if (get(value, wire::record::kChunk, chunk) && chunk < constants::kTasksMax)
+  if (get(value, wire::record::kChunk, chunk) && chunk < constants::kMaxJobTasks)
     first = chunk * constants::kProgressChunkTasks;
   else if (!get(value, wire::record::kFirst, first))
     return std::nullopt;
-  if (first >= constants::kTasksMax) return std::nullopt;
+  if (first >= constants::kMaxJobTasks) return std::nullopt;
   return static_cast<std::uint32_t>(first);
 }
 
--- a/src/codec/state_records.cc
+++ b/src/codec/state_records.cc
@@ -148,7 +148,7 @@
 // Whole chunks, as earlier builds have them, wherever those fit.
 TaskRange progress_range(std::uint32_t task, std::uint32_t tasks, std::size_t value_bytes) {
   const std::uint32_t largest = std::min(tasks, constants::kProgressChunkTasks);
-  const std::size_t digits = value_bytes - std::min(value_bytes, constants::kProgressOverhead);
+  const std::size_t digits = value_bytes - std::min(value_bytes, constants::kProgressOverheadBytes);
   std::uint32_t count = constants::kProgressChunkTasks;
   if (packed_size(largest) > digits)
     count =
--- a/src/codec/state_records.h
+++ b/src/codec/state_records.h
@@ -31,7 +31,8 @@
 struct NodeRecord {
   std::string boot;  // a name for one run of the process
   std::uint64_t lease_id = 0;
-  std::uint64_t features = 0;  // see constants::kFeatures; 0: a build from before there were any
+  std::uint64_t features =
+      0;  // see constants::kBuildFeatureBits; 0: a build from before there were any
   // Nothing: a build from before cluster versions, or one that takes no part in them.
   std::optional<upgrade::BuildVersions> versions = std::nullopt;
 };
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -13,7 +13,7 @@
 }
 
 int Settings::batch() const {
-  const double changes = state_write_rps * constants::kBatchShare;
+  const double changes = state_write_rps * constants::kTransactionChangeShare;
   return std::clamp(static_cast<int>(changes), 1, state_txn_ops);
 }
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -45,7 +45,7 @@
   /// Objectives for the completion of jobs, by job class.
   std::map<std::string, std::vector<CompletionObjective>> completion_objectives;
   /// Seconds within which work inside a team's fair share should start.
-  double fair_share_start_s = constants::kFairShareStartS;
+  double fair_share_start_s = constants::kDefaultFairShareStartS;
   /// Seconds within which the tasks of a job should start, by job class.
   std::map<std::string, double> start_objectives_s;
 
--- a/src/config/settings_file.cc
+++ b/src/config/settings_file.cc
@@ -140,9 +140,9 @@
                        Settings& settings) {
   reader.number(state, path, "rps", 1, kRateMax, settings.state_rps);
   reader.number(state, path, "write_rps", 1, kRateMax, settings.state_write_rps);
-  reader.number(state, path, "value_kb", constants::kLeastValueKb, kValueMaxKb,
+  reader.number(state, path, "value_kb", constants::kMinValueKib, kValueMaxKb,
                 settings.state_value_kb);
-  reader.whole(state, path, "txn_ops", constants::kLeastTransaction, kTransactionMax,
+  reader.whole(state, path, "txn_ops", constants::kMinTransactionChanges, kTransactionMax,
                settings.state_txn_ops);
 }
 
--- a/src/constants.h
+++ b/src/constants.h
@@ -1,4 +1,5 @@
-// The tuning constants of the service, by role, each with its unit and its reason.
+// The tuning constants of the service, grouped by subsystem. The unit is part of the name: Ms, S,
+// Bytes, Kib, Cpus, or what is counted; Share is a fraction from 0 to 1, Factor a multiple.
 // Limits that differ between deployments (rates, leases, sizes) come from the settings file
 // instead; see config/settings.h.
 #pragma once
@@ -7,313 +8,333 @@
 
 namespace eiderreel {
 
-/// Milliseconds: a duration, or a moment of the steady clock.
+/// Milliseconds: a duration, or a point in time of the steady clock.
 using Ms = std::int64_t;
 
 namespace constants {
 
 // --- Clocks ---------------------------------------------------------------------------------
-// Share. Twice the 0.05 % by which the protocol lets a clock run fast or slow.
-constexpr double kDrift = 0.001;
-// ms. Covers timer resolution and a slow processor on both sides of a lease.
-constexpr Ms kProofMarginMs = 250;
-// ms. Pace of all periodic work, fine enough to end deferred heartbeats on time.
+// Twice the 0.05 % by which the protocol allows a clock to run fast or slow.
+constexpr double kClockDriftShare = 0.001;
+// Added to a worker's lease before the lease counts as expired. Covers timer resolution and slow
+// processing at both ends.
+constexpr Ms kWorkerLeaseMarginMs = 250;
+// Interval of all periodic work; short enough to end deferred heartbeats on time.
 constexpr Ms kTickMs = 50;
 
 // --- Leases and partitions ------------------------------------------------------------------
-// ms. The partition of a dead leader becomes vacant after this time.
+// Lease of a controller. The partitions of a failed leader become vacant after this time.
 constexpr Ms kLeaseTtlMs = 5000;
-// ms. Allows four attempts to renew within one lease.
-constexpr Ms kLeaseRenewEveryMs = 1000;
-// ms. A leader stops acting this long before its lease ends.
+// Allows four renewal attempts within one lease.
+constexpr Ms kLeaseRenewIntervalMs = 1000;
+// A leader stops acting this long before its lease expires.
 constexpr Ms kLeaseMarginMs = 300;
-// ms. Time that a vacant partition is left to its preferred leader, if that is alive.
-constexpr Ms kClaimPreferredAliveMs = 2500;
-// ms. Pause before claiming a partition whose preferred leader is gone.
-constexpr Ms kClaimOtherMs = 300;
-// ms. Added to the time within which every machine sends a heartbeat; more is silence.
-constexpr Ms kWorkerSilenceMs = 1000;
-// ms. A node that hears no worker probes one this often.
-constexpr Ms kProbeEveryMs = 500;
-// ms. Extra delay of claims by a node that hears no worker, so that others go first.
-constexpr Ms kClaimWorkersLostMs = 3000;
-// ms. A preferred leader must have been up this long to get its partition back.
-constexpr Ms kFailbackAfterMs = 4000;
-// ms. Pace of the cluster leader's advice on machines.
-constexpr Ms kBalanceEveryMs = 1000;
-// ms. Life of the advice to cordon machines, which is renewed while it holds.
-constexpr Ms kCordonMs = 3000;
-// ms. Life of a peer's vote not to claim. Short, because a restarted process waits it out.
-constexpr Ms kVoteMs = 3000;
-// ms. Allows several requests within the life of one vote.
-constexpr Ms kVoteRequestEveryMs = 500;
-// ms. Without an answer of the state store for this long, an outage is likely.
-constexpr Ms kStateSilentMs = 1500;
-// Vote requests whose sending time is remembered.
-constexpr std::size_t kOpenVoteRequests = 16;
-// Numbers of requests between peers begin at random below this: whole in a double, and never used
-// up.
-constexpr double kFirstNumberRange = 9e15;
-// ms. Pause before a final commit is retried.
-constexpr Ms kFinalRetryMs = 1000;
+// Time for which a vacant partition is left to its preferred leader while that controller is alive.
+constexpr Ms kClaimDelayPreferredAliveMs = 2500;
+// Delay before claiming a vacant partition whose preferred leader is gone.
+constexpr Ms kClaimDelayPreferredLostMs = 300;
+// Without any heartbeat for this long beyond the time in which every machine sends one, a
+// controller counts as cut off from the workers.
+constexpr Ms kWorkerSilenceMarginMs = 1000;
+// Interval at which a controller that receives no heartbeats probes a worker.
+constexpr Ms kProbeIntervalMs = 500;
+// Extra claim delay of a controller that receives no heartbeats, so that other controllers claim
+// first.
+constexpr Ms kClaimDelayWorkersLostMs = 3000;
+// Time for which a preferred leader must have been up before its partition is handed back to it.
+constexpr Ms kFailbackDelayMs = 4000;
+// Interval at which the cluster leader rebalances machines between partitions.
+constexpr Ms kRebalanceIntervalMs = 1000;
+// Time for which a cordon request holds; the request is repeated while the reason for it persists.
+constexpr Ms kCordonTtlMs = 3000;
+// Time for which a peer that grants a vote does not claim the partitions. Short, because a
+// restarted process has to wait for it to expire.
+constexpr Ms kVoteTtlMs = 3000;
+// Allows several requests while one vote is valid.
+constexpr Ms kVoteRequestIntervalMs = 500;
+// The state store counts as unavailable if it has not answered for this long.
+constexpr Ms kStateStoreSilenceMs = 1500;
+// Vote requests whose sending time is kept.
+constexpr std::size_t kMaxPendingVoteRequests = 16;
+// Requests between peers are numbered from a random number below this limit. A double represents it
+// exactly, and the numbers that follow never run out.
+constexpr double kMaxInitialRequestNumber = 9e15;
+// Delay before a commit of a final record is retried.
+constexpr Ms kFinalCommitRetryMs = 1000;
 
 // --- Workers and placement ------------------------------------------------------------------
-// ms. Longest deferral of a busy machine's heartbeat; below the 500 ms between heartbeats.
-constexpr Ms kDeferBusyMs = 400;
-// ms. Longest deferral of an idle machine's heartbeat; well below kWorkerPatienceMs.
-constexpr Ms kDeferIdleMs = 2500;
-// ms. Timeout of kills sent to /commands; the next heartbeat repeats them anyway.
-constexpr Ms kCommandTimeoutMs = 2000;
-// ms. Protocol: a worker drops an answer that takes longer.
-constexpr Ms kWorkerPatienceMs = 4000;
-// ms. Time a heartbeat is held for a new leader: enough for a failover, and the worker still waits.
-constexpr Ms kHoldHeartbeatMs = 2000;
-// Answers in a row of which a machine shows no trace; one or two may be lost by chance.
-constexpr int kInboundLossAnswers = 3;
-// Answers that carry a fencing token which the machine then does not show.
-constexpr int kTokenAnnouncements = 2;
-// ms. Half of the four minutes within which every job should start.
-constexpr Ms kStarvedMs = 120000;
-// ms. A start that is stopped within 30 s of running does not count; plus a margin.
-constexpr Ms kBegunMs = 35000;
-// Failures without a success before a machine is quarantined.
-constexpr int kUnhealthyErrors = 3;
-// ms. First quarantine of a machine; each further one is twice as long.
-constexpr Ms kQuarantineMs = 20000;
-// ms. Longest quarantine; below the 90 s that a job may wait while there is room.
-constexpr Ms kQuarantineMaxMs = 60000;
-// ms. First backoff of a job that failed on several machines.
-constexpr Ms kJobBackoffMs = 1000;
-// ms. Longest backoff of such a job.
-constexpr Ms kJobBackoffMaxMs = 30000;
-// Machines on which a job must fail before the job itself is suspected.
-constexpr int kJobBadMachines = 3;
-// ms. Time that a service waits for a machine which has its image.
-constexpr Ms kImageWaitMs = 900;
-// Share of the services on the fullest machine; one with less is passed over for fuller ones.
-constexpr double kServicesAlike = 0.7;
-// Machines with services from which on waiting pays: one of them nearly always reports in time.
-constexpr int kServiceMachines = 4;
-// ms. Time that a service waits to join other services.
-constexpr Ms kServicePackMs = 500;
-// Share of a machine with services that is reserved for further services at most.
-constexpr double kReserveShare = 1.0 / 16;
-// Replicas that are likely to arrive before the next heartbeat.
-constexpr double kReserveReplicas = 2;
-// ms. Time that an array waits for fuller machines.
-constexpr Ms kPackWaitMs = 1500;
-// ms. Several machines have sent a heartbeat by then.
-constexpr Ms kPreemptAfterMs = 250;
-// ms. A fair share is reclaimed this long before its objective is missed.
+// Longest deferral of a busy machine's heartbeat; below the 500 ms between heartbeats.
+constexpr Ms kMaxBusyDeferralMs = 400;
+// Longest deferral of an idle machine's heartbeat; well below kWorkerReplyTimeoutMs.
+constexpr Ms kMaxIdleDeferralMs = 2500;
+// Timeout of requests to a worker. A kill that gets lost is repeated in the next heartbeat reply.
+constexpr Ms kWorkerRequestTimeoutMs = 2000;
+// Protocol: a worker discards a heartbeat reply that takes longer.
+constexpr Ms kWorkerReplyTimeoutMs = 4000;
+// Time for which a heartbeat is held until a new leader is elected: long enough for a failover, and
+// below kWorkerReplyTimeoutMs.
+constexpr Ms kHeartbeatHoldMs = 2000;
+// Consecutive replies that a machine must have missed before it is quarantined for inbound loss;
+// one or two may be lost by chance.
+constexpr int kInboundLossReplies = 3;
+// Replies that announce a fencing token to a machine before the machine is treated as stale for not
+// adopting it.
+constexpr int kMaxTokenAnnouncements = 2;
+// A job that has not started for this long counts as starved: half of the four minutes within which
+// every job should start.
+constexpr Ms kStarvationAgeMs = 120000;
+// Time for which the first task of a starved job is not preempted. A start counts only after 30 s
+// of running; the rest is a margin.
+constexpr Ms kStarvedTaskProtectionMs = 35000;
+// Consecutive failures after which a machine is quarantined.
+constexpr int kQuarantineFailures = 3;
+// First quarantine of a machine; each further one is twice as long.
+constexpr Ms kInitialQuarantineMs = 20000;
+// Longest quarantine; below the 90 s that a job may wait while there is room.
+constexpr Ms kMaxQuarantineMs = 60000;
+// First backoff of a job that failed on several machines.
+constexpr Ms kInitialJobBackoffMs = 1000;
+// Longest backoff of a job that failed on several machines.
+constexpr Ms kMaxJobBackoffMs = 30000;
+// Machines on which a job must fail before the job is considered faulty instead of the machines.
+constexpr int kJobFailureMachines = 3;
+// Time for which a service waits for a machine that has its image.
+constexpr Ms kServiceImageWaitMs = 900;
+// Machines whose services use less than this share of the CPUs that services use on the fullest
+// machine are passed over in favour of fuller ones.
+constexpr double kFullestServiceShare = 0.7;
+// Waiting for a fuller machine pays off if at least this many machines run services: nearly always
+// one of them sends its heartbeat in time.
+constexpr int kMinServiceMachines = 4;
+// Time for which a service waits for a machine that runs other services.
+constexpr Ms kServicePackWaitMs = 500;
+// Largest share of a machine with services that is reserved for further services.
+constexpr double kMaxServiceHeadroomShare = 1.0 / 16;
+// Replicas for which room is reserved: as many as are likely to arrive before the next heartbeat.
+constexpr double kServiceHeadroomReplicas = 2;
+// Time for which a job array waits for fuller machines.
+constexpr Ms kArrayPackWaitMs = 1500;
+// Waiting time before preemption; long enough for several machines to send a heartbeat.
+constexpr Ms kPreemptionDelayMs = 250;
+// A fair share is reclaimed this long before its objective would be missed.
 constexpr Ms kReclaimMarginMs = 1000;
-// s. Default objective for the start of work within a fair share.
-constexpr double kFairShareStartS = 5;
-// ms. Reclaiming at once would stop work that is about to finish.
-constexpr Ms kReclaimSoonestMs = 500;
-// Multiple of the fetch time by which a job is set back on a machine without its image.
-constexpr Ms kFetchWeight = 2;
-// Images remembered in addition to those of open jobs; far more than machines cache.
-constexpr std::size_t kImagesKnown = 4096;
-// ms. Largest age of the order of a queue.
-constexpr Ms kReorderMs = 250;
-// ms. Time from start to running that may be added to the estimate.
+// Default objective for the start of work within a fair share.
+constexpr double kDefaultFairShareStartS = 5;
+// Earliest reclaim of a fair share; an immediate one would preempt tasks that are about to finish.
+constexpr Ms kMinReclaimDelayMs = 500;
+// A job without its image on a machine is sorted later in the queue by this multiple of the fetch
+// time.
+constexpr Ms kFetchPenaltyFactor = 2;
+// Images kept in addition to those of open jobs; far more than the machines cache.
+constexpr std::size_t kMaxRetainedImages = 4096;
+// The queue is sorted again when its order is older than this.
+constexpr Ms kQueueSortIntervalMs = 250;
+// Time from start to running that is added to a task's estimated run time.
 constexpr Ms kStartAllowanceMs = 3000;
-// ms. Latest start of a job that has neither objective nor deadline.
-constexpr Ms kUnboundedMs = 300000;
-// Multiple of its last objective after which a late job goes first again.
-constexpr int kPatienceTargets = 4;
-// Bits of an attempt's number; the fencing token is in the bits above them.
-constexpr int kAttemptBits = 24;
+// Latest start, after it became ready, of a job with neither an objective nor a deadline.
+constexpr Ms kDefaultLatestStartMs = 300000;
+// After this multiple of the time up to its last objective, a late job is sorted as if it had
+// missed no objective.
+constexpr int kOverdueObjectiveFactor = 4;
+// Low bits of an attempt number, which hold a counter; the bits above hold the fencing token.
+constexpr int kAttemptCounterBits = 24;
 
 // --- State store ----------------------------------------------------------------------------
-// KiB. Smallest accepted limit of a value: the record of a job without lists, and some more.
-constexpr double kLeastValueKb = 1;
-// Changes. Smallest accepted limit: a job's final record and the deletion of its record.
-constexpr int kLeastTransaction = 2;
-// Share of the rates that is used; the rest absorbs clock skew.
-constexpr double kBudgetShare = 0.9;
-// ms. Period over which a node's use of the rates is averaged.
-constexpr Ms kUseMs = 2000;
-// Share of what other nodes leave unused that may be borrowed; they may need it again.
-constexpr double kBorrowedShare = 0.5;
-// Share of a second's changes that progress leaves to other writes.
-constexpr double kProgressKeep = 0.4;
-// Share of a node's requests that watches may use.
-constexpr double kWatchShare = 0.33;
+// Smallest accepted limit of a value: enough for a job record without lists, with a margin.
+constexpr double kMinValueKib = 1;
+// Smallest accepted limit of a transaction: a job's final record and the deletion of its job
+// record.
+constexpr int kMinTransactionChanges = 2;
+// Share of the rate limits that is used; the rest absorbs clock skew.
+constexpr double kUsableRateShare = 0.9;
+// Time constant of the average of a controller's request and change rates.
+constexpr Ms kUsageAveragingMs = 2000;
+// Share of the other controllers' unused rates that may be borrowed; they may need the rest again.
+constexpr double kBorrowableShare = 0.5;
+// Share of a second's changes that progress writes leave to other writes.
+constexpr double kProgressReserveShare = 0.4;
+// Share of a controller's requests that watches may use.
+constexpr double kWatchRequestShare = 0.33;
 // Share of a second's changes that one transaction may use.
-constexpr double kBatchShare = 0.4;
-// ms. Pause after a refusal over the limit.
-constexpr Ms kOverLimitMs = 100;
-// ms. Answers usually take 10 ms, sometimes a few hundred.
-constexpr Ms kStateTimeoutMs = 1500;
-// ms. Duration of a long poll; short enough to notice a dead connection.
-constexpr Ms kWatchWaitMs = 5000;
-// ms. Time beyond the long poll after which a watch counts as dead.
-constexpr Ms kWatchSlackMs = 2500;
-// ms. Collects changes between polls, so that a busy minute costs few requests.
-constexpr Ms kWatchPauseMs = 100;
-// Items of a page; half of the largest page that the protocol allows.
-constexpr int kListPage = 500;
-// Attempts of a commit before its caller is told that the outcome is unknown.
-constexpr int kCommitTries = 3;
-// ms. Pause before a request to the state store is retried.
-constexpr Ms kRetryMs = 300;
-// ms. Interval at which the finished tasks of a job are written.
-constexpr Ms kProgressEveryMs = 3000;
-// Bit set of this build's features, published in its record. Bit 0: knows prerequisites.
-constexpr std::uint64_t kFeatures = 1;
-// Protocol: preconditions in a transaction, for each change that it may have.
+constexpr double kTransactionChangeShare = 0.4;
+// Delay before a request is retried that the state store rejected over its rate limit.
+constexpr Ms kThrottledRetryDelayMs = 100;
+// The state store usually answers within 10 ms, sometimes within a few hundred.
+constexpr Ms kStateStoreTimeoutMs = 1500;
+// Duration of a long poll; short enough to detect a dead connection.
+constexpr Ms kWatchLongPollMs = 5000;
+// A watch without a reply for this long after the end of its long poll counts as failed.
+constexpr Ms kWatchTimeoutMarginMs = 2500;
+// Pause between long polls, which batches changes so that a busy minute costs few requests.
+constexpr Ms kMinWatchPauseMs = 100;
+// Half of the largest page that the protocol allows.
+constexpr int kListPageItems = 500;
+// Attempts of a commit before the outcome is reported as unknown.
+constexpr int kMaxCommitAttempts = 3;
+// Delay before a failed request to the state store or the cloud is retried.
+constexpr Ms kRetryDelayMs = 300;
+// Interval at which the finished tasks of a job are written.
+constexpr Ms kProgressIntervalMs = 3000;
+// Features of this build, published in the controller's record. Bit 0: supports prerequisites.
+constexpr std::uint64_t kBuildFeatureBits = 1;
+// Protocol: preconditions allowed in a transaction for each change allowed in it.
 constexpr int kPreconditionsPerChange = 4;
-// Final records in one read; a job rarely names more.
-constexpr int kEndsPage = 100;
-// Bytes of a progress value besides its bits.
-constexpr std::size_t kProgressOverhead = 200;
-// Bytes of a record besides its list of jobs.
-constexpr std::size_t kRecordOverhead = 200;
-// Bytes of a transaction's values; the rest of the protocol's 64 KiB is for preconditions.
+// Final records in one read; a job rarely has more prerequisites.
+constexpr int kFinalRecordPageItems = 100;
+// Size of a progress value without its bits.
+constexpr std::size_t kProgressOverheadBytes = 200;
+// Size of a prerequisite record without its list of jobs.
+constexpr std::size_t kRecordOverheadBytes = 200;
+// Limit of a transaction's values; the rest of the protocol's 64 KiB is for preconditions.
 constexpr std::size_t kTransactionBytes = 50000;
-// ms. Older chunks without a job are deleted; no acceptance can still be on its way.
-constexpr Ms kOrphanedChunksMs = 600000;
+// Chunks without a job are deleted at this age; the commit that accepts their job cannot be pending
+// any more.
+constexpr Ms kOrphanedChunkAgeMs = 600000;
 // Waiting jobs listed in /status.
-constexpr std::size_t kStatusWaiting = 20;
+constexpr std::size_t kMaxStatusWaitingJobs = 20;
 // Prerequisites listed in /status for each waiting job.
-constexpr std::size_t kStatusPrerequisites = 5;
+constexpr std::size_t kMaxStatusPrerequisites = 5;
 // Tasks of a progress chunk: 4 KiB of bits are 5.5 KiB as base64, below 8 KiB.
 constexpr std::uint32_t kProgressChunkTasks = 32768;
-// Finished jobs that are cached; older ones are read again.
-constexpr std::size_t kFinalCache = 20000;
-// Finished jobs that are handed over with a vote: minutes of a busy day, where a leader lags by
-// seconds.
-constexpr std::size_t kFinishedKept = 2000;
+// Finished jobs that are cached; older ones are read from the state store.
+constexpr std::size_t kMaxCachedFinalJobs = 20000;
+// Finished jobs that are kept to be sent along with a vote: minutes of a busy day, where a leader
+// lags by seconds.
+constexpr std::size_t kMaxRecentFinishedJobs = 2000;
 
 // --- Upgrades -------------------------------------------------------------------------------
-// ms. Pause before a write refused over a version is retried; one answer tells the new version.
-constexpr Ms kVersionRetryMs = 50;
-// Attempts of a step; its operator is answered within two timeouts of the state store.
-constexpr int kStepTries = 2;
-// ms. Interval between automatic steps, in which each of them takes effect.
-constexpr Ms kAutomaticEveryMs = 10000;
+// Delay before a write that was refused because of a version change is retried; one reply is enough
+// to learn the new version.
+constexpr Ms kVersionRetryDelayMs = 50;
+// Attempts of an upgrade step; its operator gets a reply within two timeouts of the state store.
+constexpr int kMaxStepAttempts = 2;
+// Interval between automatic steps; long enough for each step to take effect.
+constexpr Ms kAutomaticStepIntervalMs = 10000;
 // Steps kept in the history; older ones are deleted.
-constexpr std::size_t kHistoryKept = 200;
-// Bytes of a history record; below the smallest limit of a value.
-constexpr std::size_t kHistoryRecordBytes = 900;
-// ms. Period over which the rate of a conversion is averaged.
-constexpr Ms kConversionRateMs = 10000;
-// ms. Pause after a scan that found nothing to convert.
-constexpr Ms kConversionLookMs = 1000;
-// s. Unused changes that a conversion may save up.
-constexpr double kConversionBurst = 1;
-// ms. Timeout of an upgrade command: three attempts of 1.5 s each, and a margin.
-constexpr Ms kUpgradeCallMs = 6000;
-// ms. Time for which the command line looks for an unknown outcome.
-constexpr Ms kUpgradeResolveMs = 10000;
-// ms. Pause between two such looks.
-constexpr Ms kUpgradeResolveEveryMs = 1000;
+constexpr std::size_t kMaxHistoryRecords = 200;
+// Below the smallest limit of a value.
+constexpr std::size_t kMaxHistoryRecordBytes = 900;
+// Time constant of the average rate of a conversion.
+constexpr Ms kConversionRateAveragingMs = 10000;
+// Pause after a scan that found nothing to convert.
+constexpr Ms kConversionScanPauseMs = 1000;
+// Unused changes that a conversion may accumulate, as seconds of its rate.
+constexpr double kConversionBurstS = 1;
+// Timeout of an upgrade command: three attempts of 1.5 s each, and a margin.
+constexpr Ms kUpgradeCallTimeoutMs = 6000;
+// Time for which the command line queries the outcome of a step that is unknown.
+constexpr Ms kUpgradeResolveTimeoutMs = 10000;
+// Interval between these queries.
+constexpr Ms kUpgradeResolveIntervalMs = 1000;
 
 // --- HTTP API -------------------------------------------------------------------------------
-// Bytes. Protocol: largest body of a request.
-constexpr std::size_t kBodyMax = 65536;
-// Bytes. A longer body is not even read; up to here it is answered with 413.
-constexpr std::size_t kBodyReadMax = 131072;
-// Protocol: tasks of a job.
-constexpr std::uint32_t kTasksMax = 100000;
-// ms. Timeout of a query to a peer; a user waits 2 s for a poll, enough for two attempts.
+// Protocol: largest body of a request.
+constexpr std::size_t kMaxBodyBytes = 65536;
+// A longer body is not read at all; up to this size it is answered with 413.
+constexpr std::size_t kMaxBodyReadBytes = 131072;
+// Protocol: largest number of tasks of a job.
+constexpr std::uint32_t kMaxJobTasks = 100000;
+// Timeout of a query to a peer; a user waits 2 s for a poll, which allows two attempts.
 constexpr Ms kPeerQueryTimeoutMs = 700;
-// ms. An older answer says nothing about an open job any more.
-constexpr Ms kOpenAnswerMs = 700;
-// s. Retry-After of refused requests.
+// An older answer about an open job is rejected as stale.
+constexpr Ms kMaxOpenAnswerAgeMs = 700;
+// Retry-After header of refused requests.
 constexpr int kRetryAfterS = 1;
-// Bytes of a request's headers.
-constexpr int kHeadersMax = 16384;
-// s. Users poll every 5 s, so a connection idle for this long is dead.
-constexpr int kIdleConnectionS = 60;
-// Lower bound of the number of requests that may wait for the state store at the same time.
-constexpr double kPendingLeast = 32;
-// ms. Timeout of `eiderreel status`.
-constexpr Ms kStatusTimeoutMs = 3000;
+// Largest size of the headers of a request.
+constexpr int kMaxHeaderBytes = 16384;
+// Users poll every 5 s, so a connection that is idle for this long is dead.
+constexpr int kConnectionIdleTimeoutS = 60;
+// Lower bound of the number of requests that may be queued for the state store.
+constexpr double kMinRequestQueueCapacity = 32;
+// Timeout of `eiderreel status`.
+constexpr Ms kStatusCommandTimeoutMs = 3000;
 
 // --- Latency histograms in /metrics ---------------------------------------------------------
 // Buckets of a histogram.
 constexpr int kLatencyBuckets = 12;
-// ms. Lowest bucket: the resolution of a timer.
-constexpr double kLatencyLowMs = 1;
-// ms. Highest bucket; beyond the 5 s that a user waits.
-constexpr double kLatencyHighMs = 8192;
+// Lower bound of the buckets: the resolution of a timer.
+constexpr double kMinLatencyMs = 1;
+// Upper bound of the buckets; beyond the 5 s that a user waits.
+constexpr double kMaxLatencyMs = 8192;
 
 // --- Peer links -----------------------------------------------------------------------------
-// ms. Pause before a failed link is dialled again.
-constexpr Ms kPeerRedialMs = 500;
-// ms. A link is dropped after this time of unsent bytes or dialling without progress.
-constexpr Ms kPeerStuckMs = 4000;
-// ms. A link is dropped after this silence; peers send every half second.
+// Delay before a failed link is connected again.
+constexpr Ms kPeerReconnectDelayMs = 500;
+// A link is dropped if connecting, or sending its queued bytes, makes no progress for this long.
+constexpr Ms kPeerStallTimeoutMs = 4000;
+// A link is dropped if nothing is received for this long; peers send every half second.
 constexpr Ms kPeerIdleTimeoutMs = 10000;
-// ms. Interval at which a node sends its load to all peers.
-constexpr Ms kStatusEveryMs = 500;
-// ms. A peer that is silent for this long counts as gone.
-constexpr Ms kStatusStaleMs = 2500;
-// Bytes of a frame.
-constexpr std::size_t kPeerFrameMaxBytes = 1 << 20;
-// Unsent bytes after which a link is dropped.
-constexpr std::size_t kPeerBacklogMaxBytes = 1 << 20;
+// Interval at which a controller sends its load to all peers.
+constexpr Ms kPeerStatusIntervalMs = 500;
+// A peer whose last status is older counts as unreachable.
+constexpr Ms kPeerStatusTtlMs = 2500;
+// Largest frame.
+constexpr std::size_t kMaxPeerFrameBytes = 1 << 20;
+// A link with more unsent bytes is dropped.
+constexpr std::size_t kMaxPeerBacklogBytes = 1 << 20;
 
 // --- Cloud and fleet ------------------------------------------------------------------------
-// ms. Timeout of a request to the cloud.
+// Timeout of a request to the cloud.
 constexpr Ms kCloudTimeoutMs = 8000;
-// ms. Interval at which the list of machines is read.
-constexpr Ms kListEveryMs = 3000;
-// ms. Interval at which the catalog is read; prices change slowly.
-constexpr Ms kCatalogEveryMs = 60000;
-// ms. A new cluster leader first collects machines and needs for this long.
-constexpr Ms kLeaderSettlesMs = 8000;
-// Multiple of what services use that is kept; room for the next ones.
-constexpr double kServiceRoom = 1.5;
-// Share of the needy partition's waiting work that a giving partition may have waiting itself.
-constexpr double kGiverWaits = 0.25;
-// Share of a partition's free room that is given to one in need.
-constexpr double kCordonShare = 0.75;
-// s. Machines are drained for work that waited this long; well below the 90 s that a job may wait
+// Interval at which the list of machines is read.
+constexpr Ms kMachineListIntervalMs = 3000;
+// Interval at which the catalog is read; prices change slowly.
+constexpr Ms kCatalogIntervalMs = 60000;
+// A new cluster leader collects machine lists and partition loads for this long before it scales.
+constexpr Ms kClusterLeaderWarmupMs = 8000;
+// Capacity kept for services, as a multiple of what they use; the rest is room for further ones.
+constexpr double kServiceCapacityFactor = 1.5;
+// A partition gives machines away only if its waiting work is at most this share of the receiver's.
+constexpr double kMaxGiverWaitingShare = 0.25;
+// Share of a partition's free CPUs that is cordoned for another partition.
+constexpr double kCordonFreeShare = 0.75;
+// Machines are drained for work that has waited this long; well below the 90 s that a job may wait
 // while there is room elsewhere.
 constexpr double kDrainAfterS = 70;
-// CPUs. Less waiting work is not worth a move of machines.
-constexpr double kCordonLeastCpus = 8;
+// Less waiting work is not worth moving machines.
+constexpr double kMinCordonCpus = 8;
 // Share of the machines that is distributed by fair shares alone.
-constexpr double kBaseShare = 0.5;
-// ms. Pace of decisions on the fleet.
-constexpr Ms kFleetEveryMs = 1000;
-// ms. By then all machines that fit have sent a heartbeat.
+constexpr double kFairShareBaseShare = 0.5;
+// Interval of scaling decisions.
+constexpr Ms kScalingIntervalMs = 1000;
+// Waiting time after which a job counts as unschedulable; by then all suitable machines have sent a
+// heartbeat.
 constexpr Ms kUnschedulableAfterMs = 4000;
-// Unschedulable jobs that are reported to the cluster leader at once.
-constexpr std::size_t kUnschedulableMost = 8;
-// ms. A lack of room must last this long before machines are provisioned.
-constexpr Ms kNeedLastsMs = 2000;
-// ms. An idle machine is returned after this time where it is easily replaced.
-constexpr Ms kIdleReturnMs = 10000;
-// ms. The same where the slack of jobs is short compared with the boot time.
-constexpr Ms kIdleKeepMs = 180000;
-// Multiple of the boot time; with more slack than this, cost is saved.
-constexpr double kCostSavingBoots = 1.2;
-// Multiple of the slack that a queue may last in a large fleet.
-constexpr double kPatience = 1.32;
-// Share of a stated wait that counts as slack; the rest is for boots.
-constexpr double kWaitShare = 0.75;
-// Machines at which kPatience is halved; a small fleet evens out less.
-constexpr double kEvenMachines = 30.0;
+// Unschedulable jobs in one load report to the cluster leader.
+constexpr std::size_t kMaxUnschedulableJobs = 8;
+// A lack of capacity must last this long before machines are provisioned.
+constexpr Ms kScaleOutDelayMs = 2000;
+// Time after which an idle machine is released if cost saving applies (see kCostSavingBootFactor),
+// since it is easily replaced then.
+constexpr Ms kIdleReleaseMs = 10000;
+// Time after which an idle machine is released if the slack of jobs is short compared with the boot
+// time.
+constexpr Ms kShortSlackIdleReleaseMs = 180000;
+// Cost saving applies if the slack of jobs is at least this multiple of the longest boot time.
+constexpr double kCostSavingBootFactor = 1.2;
+// Time in which the queue of a large fleet is to be worked off, as a multiple of the slack.
+constexpr double kQueueSlackFactor = 1.32;
+// Share of a wait objective that counts as slack; the rest is for boots.
+constexpr double kWaitSlackShare = 0.75;
+// Fleet size at which kQueueSlackFactor is halved; load fluctuations average out less in a small
+// fleet.
+constexpr double kSlackHalvingMachines = 30.0;
 // Weight of a new job in the running average of slack.
-constexpr double kSlackWeight = 0.1;
-// ms. Room must be left over for this long before machines are consolidated.
-constexpr Ms kConsolidateAfterMs = 4000;
-// Share of a partition's CPUs that stays free besides the queue.
-constexpr double kConsolidateSpareRoom = 0.05;
-// ms. Pause between two machines that are consolidated.
-constexpr Ms kConsolidateNextMs = 500;
-// ms. Pause before a machine type is requested again in a zone that had no capacity.
+constexpr double kSlackAverageWeight = 0.1;
+// Surplus room must last this long before machines are consolidated.
+constexpr Ms kConsolidationDelayMs = 4000;
+// Share of a partition's CPUs that stays free in addition to the room for the queue.
+constexpr double kConsolidationSpareShare = 0.05;
+// Pause between two machines that are consolidated.
+constexpr Ms kConsolidationIntervalMs = 500;
+// Pause before a machine type is requested again in a zone that had no capacity.
 constexpr Ms kNoCapacityPauseMs = 15000;
-// Multiple of ready_s after which a machine that is still starting is returned.
-constexpr double kStuckBoots = 4.0;
-// Machines in one request; the cloud's limit.
-constexpr int kProvisionMost = 50;
-// Machines in one return; the cloud's limit.
-constexpr std::size_t kTerminateMost = 100;
+// A machine that is still starting after this multiple of its boot time is returned to the cloud.
+constexpr double kStuckBootFactor = 4.0;
+// Machines in one provisioning request; the limit of the cloud.
+constexpr int kMaxProvisionMachines = 50;
+// Machines in one return request; the limit of the cloud.
+constexpr std::size_t kMaxTerminateMachines = 100;
 
 }  // namespace constants
 }  // namespace eiderreel
--- a/src/controller/http_router.cc
+++ b/src/controller/http_router.cc
@@ -42,7 +42,7 @@
 
 void HttpRouter::serve(const std::string& method, const std::string& path, const std::string& body,
                        const Reply& reply) {
-  if (body.size() > k::kBodyMax)
+  if (body.size() > k::kMaxBodyBytes)
     return reply(http_status::kContentTooLarge, codec::error_body("the body is over 64 KiB"));
   if (upgrade::is_upgrade_path(path)) return upgrade::serve(upgrades_, method, path, body, reply);
   const auto found = routes_.find(path);
--- a/src/controller/http_router.h
+++ b/src/controller/http_router.h
@@ -22,7 +22,7 @@
              upgrade::Coordinator& upgrades);
 
   /// Answers a request, at once or later; `reply` is called once. Here it is answered with 404 for
-  /// an unknown path, 405 for a wrong method and 413 for a body over constants::kBodyMax.
+  /// an unknown path, 405 for a wrong method and 413 for a body over constants::kMaxBodyBytes.
   void serve(const std::string& method, const std::string& path, const std::string& body,
              const Reply& reply);
 
--- a/src/controller/status_report.cc
+++ b/src/controller/status_report.cc
@@ -81,13 +81,13 @@
 void put_waiting_jobs(Writer& writer, const DependencyGraph& dependencies) {
   writer.Key("waiting");
   writer.StartArray();
-  for (const auto& id : dependencies.waiting(k::kStatusWaiting)) {
+  for (const auto& id : dependencies.waiting(k::kMaxStatusWaitingJobs)) {
     writer.StartObject();
     put(writer, "job", id);
     put_count(writer, "prerequisites", dependencies.prerequisite_count(id));
     writer.Key("first");
     writer.StartArray();
-    for (const auto& first : dependencies.prerequisites_of(id, k::kStatusPrerequisites))
+    for (const auto& first : dependencies.prerequisites_of(id, k::kMaxStatusPrerequisites))
       writer.String(first.c_str());
     writer.EndArray();
     writer.EndObject();
--- a/src/fleet/autoscaler.cc
+++ b/src/fleet/autoscaler.cc
@@ -51,7 +51,7 @@
   PendingCapacity pending = pending_capacity();
   provision_for_unschedulable(loads, pending);
   // Where the usual slack before a deadline is long beside a boot time, cost saving costs little.
-  const bool saves_cost = total.slack_s >= k::kCostSavingBoots * catalog_.longest_boot_s();
+  const bool saves_cost = total.slack_s >= k::kCostSavingBootFactor * catalog_.longest_boot_s();
   const double requested = requested_cpus(total, saves_cost);
   const double lack = requested - total.idle_cpus - pending.cpus;
   spdlog::debug(
@@ -112,10 +112,10 @@
   if (!saves_cost) return total.waiting_cpus;
   // A small fleet evens out less, so its queue is given less time.
   const auto machines = static_cast<double>(inventory_.size());
-  const double patience = k::kPatience * machines / (machines + k::kEvenMachines);
+  const double patience = k::kQueueSlackFactor * machines / (machines + k::kSlackHalvingMachines);
   // Where arrays should start within a stated time, machines must be up well before it.
   const double queue_s =
-      total.wait_s > 0 ? std::min(total.slack_s, total.wait_s * k::kWaitShare) : total.slack_s;
+      total.wait_s > 0 ? std::min(total.slack_s, total.wait_s * k::kWaitSlackShare) : total.slack_s;
   const double queue_cpus = total.waiting_core_s / (queue_s * patience) - total.total_cpus;
   return std::min(total.waiting_cpus, std::max(queue_cpus, total.waiting_service_cpus));
 }
@@ -127,7 +127,7 @@
   } else if (lacking_since_ == 0) {
     lacking_since_ = runtime_.now();
   }
-  return lack > 0 && runtime_.now() - lacking_since_ >= k::kNeedLastsMs;
+  return lack > 0 && runtime_.now() - lacking_since_ >= k::kScaleOutDelayMs;
 }
 
 // Machines idle for long are released while nothing waits, on-demand ones first: they are dearer.
--- a/src/fleet/fleet_manager.cc
+++ b/src/fleet/fleet_manager.cc
@@ -43,13 +43,14 @@
   const Ms now = runtime_.now();
   assigner_.assign_all();
   inventory_.tick();
-  if (now - balanced_at_ >= k::kBalanceEveryMs) {
+  if (now - balanced_at_ >= k::kRebalanceIntervalMs) {
     balanced_at_ = now;
     rebalancer_.rebalance();
     terminator_.terminate_released();
   }
   // A new cluster leader first hears of machines and needs.
-  if (now - scaled_at_ >= k::kFleetEveryMs && now - cluster_leader_since_ >= k::kLeaderSettlesMs) {
+  if (now - scaled_at_ >= k::kScalingIntervalMs &&
+      now - cluster_leader_since_ >= k::kClusterLeaderWarmupMs) {
     scaled_at_ = now;
     autoscaler_.scale_out_and_in();
   }
--- a/src/fleet/machine_assigner.cc
+++ b/src/fleet/machine_assigner.cc
@@ -43,8 +43,8 @@
     if (found == loads.end()) continue;
     const PartitionLoad& load = found->second;
     share.on_demand.requested =
-        (load.used_service_cpus + load.waiting_service_cpus) * k::kServiceRoom + load.waiting_cpus -
-        load.waiting_spot_cpus;
+        (load.used_service_cpus + load.waiting_service_cpus) * k::kServiceCapacityFactor +
+        load.waiting_cpus - load.waiting_spot_cpus;
     share.all.requested = load.used_cpus + load.waiting_cpus;
   }
   return shares;
@@ -64,7 +64,7 @@
   double best_ratio = -1;
   for (std::size_t i = 0; i < shares.size(); ++i) {
     const Capacity& capacity = shares[i].of(spot);
-    const double base = k::kBaseShare * all_cpus * shares[i].weight / all_weights;
+    const double base = k::kFairShareBaseShare * all_cpus * shares[i].weight / all_weights;
     const double ratio = (capacity.requested + base) / (capacity.assigned + cpus);
     if (ratio <= best_ratio) continue;
     best = i;
--- a/src/fleet/machine_catalog.cc
+++ b/src/fleet/machine_catalog.cc
@@ -14,7 +14,7 @@
 }
 
 void MachineCatalog::tick() {
-  const Ms pause = types_.empty() ? k::kRetryMs : k::kCatalogEveryMs;
+  const Ms pause = types_.empty() ? k::kRetryDelayMs : k::kCatalogIntervalMs;
   if (!reading_ && runtime_.now() - read_at_ >= pause) read();
 }
 
--- a/src/fleet/machine_inventory.cc
+++ b/src/fleet/machine_inventory.cc
@@ -22,11 +22,11 @@
 }  // namespace
 
 void MachineInventory::tick() {
-  if (!listing_ && runtime_.now() - listed_at_ >= k::kListEveryMs) begin_list();
+  if (!listing_ && runtime_.now() - listed_at_ >= k::kMachineListIntervalMs) begin_list();
 }
 
 Ms MachineInventory::lag() const {
-  return static_cast<Ms>(settings_.list_lag_s * kLagMsPerSecond * (1 + k::kDrift));
+  return static_cast<Ms>(settings_.list_lag_s * kLagMsPerSecond * (1 + k::kClockDriftShare));
 }
 
 void MachineInventory::begin_list() {
@@ -48,7 +48,7 @@
     // read to its end. So it goes on where it was refused.
     const bool over_limit = page.error() == CloudError::over_limit;
     if (over_limit && !since.empty() && partition_leader_.is_cluster_leader()) {
-      runtime_.after(k::kRetryMs, [this, since] { read_page(since); });
+      runtime_.after(k::kRetryDelayMs, [this, since] { read_page(since); });
     } else {
       end_list();
     }
@@ -125,7 +125,7 @@
 bool MachineInventory::is_stuck(const codec::ListedMachine& machine) const {
   if (machine.phase != kStarting) return false;
   const MachineType* type = catalog_.find(machine.type);
-  return type != nullptr && machine.held_s > type->boot_s * k::kStuckBoots;
+  return type != nullptr && machine.held_s > type->boot_s * k::kStuckBootFactor;
 }
 
 std::vector<MachineInventory::PendingMachine> MachineInventory::pending_machines() const {
--- a/src/fleet/machine_provisioner.cc
+++ b/src/fleet/machine_provisioner.cc
@@ -14,7 +14,7 @@
 
 // Machines in one request for so many CPUs: one at least, and what the cloud allows at most.
 int machine_count(double machines) {
-  return std::clamp(static_cast<int>(std::ceil(machines)), 1, k::kProvisionMost);
+  return std::clamp(static_cast<int>(std::ceil(machines)), 1, k::kMaxProvisionMachines);
 }
 
 }  // namespace
@@ -98,7 +98,7 @@
   provisioning_.insert(pool);
   const std::string name =
       "r-" + std::to_string(partition->second.revision) + "-" + std::to_string(++request_counter_);
-  send(pool, {name, pool.type, pool.zone, pool.spot, count}, k::kCommitTries);
+  send(pool, {name, pool.type, pool.zone, pool.spot, count}, k::kMaxCommitAttempts);
 }
 
 void MachineProvisioner::send(const Pool& pool, const ProvisionRequest& request, int tries) {
@@ -116,7 +116,7 @@
     pause(pool);
   } else if (tries > 1) {
     // Without an answer the same request is sent again: it provisions once at most.
-    runtime_.after(k::kRetryMs, [=, this] { send(pool, request, tries - 1); });
+    runtime_.after(k::kRetryDelayMs, [=, this] { send(pool, request, tries - 1); });
     return;
   }
   provisioning_.erase(pool);
--- a/src/fleet/machine_terminator.cc
+++ b/src/fleet/machine_terminator.cc
@@ -63,7 +63,7 @@
     if (machine.record.partition >= 0 || changing_.contains(id)) continue;
     if (is_terminated(id)) {
       already_gone.push_back(id);
-    } else if (machines.size() < k::kTerminateMost) {
+    } else if (machines.size() < k::kMaxTerminateMachines) {
       machines.push_back(id);
     }
   }
--- a/src/fleet/rebalancer.cc
+++ b/src/fleet/rebalancer.cc
@@ -12,7 +12,7 @@
 
 // Whether so little waits in `giver` that it may give machines to `receiver`.
 bool may_give(const PartitionLoad& giver, const PartitionLoad& receiver) {
-  return giver.waiting_cpus <= receiver.waiting_cpus * k::kGiverWaits;
+  return giver.waiting_cpus <= receiver.waiting_cpus * k::kMaxGiverWaitingShare;
 }
 
 }  // namespace
@@ -58,7 +58,7 @@
   }
   const auto above_base = [&](int partition) {
     return loads.at(partition).total_cpus -
-           k::kBaseShare * cpus * fair_share_cpus_of(settings_, partition) / weights;
+           k::kFairShareBaseShare * cpus * fair_share_cpus_of(settings_, partition) / weights;
   };
   for (const auto& [to, load] : loads) {
     if (load.waiting_cpus <= 0 || above_base(to) >= 0) continue;
@@ -89,9 +89,10 @@
   for (auto& [to, load] : loads) {
     double wanted = load.waiting_cpus;
     for (auto& [from, giver] : loads) {
-      if (from == to || wanted < k::kCordonLeastCpus || !may_give(giver, load)) continue;
-      const double given = std::min(wanted, (giver.total_cpus - giver.used_cpus) * k::kCordonShare);
-      if (given < k::kCordonLeastCpus) continue;
+      if (from == to || wanted < k::kMinCordonCpus || !may_give(giver, load)) continue;
+      const double given =
+          std::min(wanted, (giver.total_cpus - giver.used_cpus) * k::kCordonFreeShare);
+      if (given < k::kMinCordonCpus) continue;
       wanted -= given;
       giver.used_cpus += given;
       advisor_.cordon({from, given, false});
--- a/src/leadership/conversion_rate_limiter.cc
+++ b/src/leadership/conversion_rate_limiter.cc
@@ -11,9 +11,9 @@
 bool ConversionRateLimiter::allows(Ms now) {
   const double elapsed_ms = refilled_at_ == 0 ? 0 : static_cast<double>(now - refilled_at_);
   refilled_at_ = now;
-  const double most = std::max(1.0, changes_per_s_ * k::kConversionBurst);
+  const double most = std::max(1.0, changes_per_s_ * k::kConversionBurstS);
   tokens_ = std::min(most, tokens_ + elapsed_ms / 1000 * changes_per_s_);
-  recent_ *= std::exp(-elapsed_ms / k::kConversionRateMs);
+  recent_ *= std::exp(-elapsed_ms / k::kConversionRateAveragingMs);
   return tokens_ >= 1;
 }
 
--- a/src/leadership/conversion_rate_limiter.h
+++ b/src/leadership/conversion_rate_limiter.h
@@ -26,8 +26,8 @@
 
   /// Values that this process has converted.
   std::uint64_t converted() const { return converted_; }
-  /// Values converted a second, averaged over constants::kConversionRateMs.
-  double values_per_s() const { return recent_ * 1000.0 / constants::kConversionRateMs; }
+  /// Values converted a second, averaged over constants::kConversionRateAveragingMs.
+  double values_per_s() const { return recent_ * 1000.0 / constants::kConversionRateAveragingMs; }
 
  private:
   double changes_per_s_;
--- a/src/leadership/heartbeat_router.cc
+++ b/src/leadership/heartbeat_router.cc
@@ -72,7 +72,7 @@
 void HeartbeatRouter::redirect(const Heartbeat& heartbeat, int partition, Reply reply) {
   if (!leader_silent(partition)) return redirect_to_leader(partition, reply);
   held_[heartbeat.machine] = {heartbeat, partition, std::move(reply),
-                              runtime_.now() + k::kHoldHeartbeatMs};
+                              runtime_.now() + k::kHeartbeatHoldMs};
 }
 
 void HeartbeatRouter::redirect_to_leader(int partition, const Reply& reply) const {
--- a/src/leadership/job_finalizer.cc
+++ b/src/leadership/job_finalizer.cc
@@ -15,7 +15,7 @@
 namespace k = constants;
 
 bool JobFinalizer::retry_due(const JobPersistence& persistence) const {
-  return runtime_.now() - persistence.last_commit_at >= k::kFinalRetryMs;
+  return runtime_.now() - persistence.last_commit_at >= k::kFinalCommitRetryMs;
 }
 
 // Invariant 7: done and cancelled are told only after this commit. It is tried until its outcome
--- a/src/leadership/job_persistence.cc
+++ b/src/leadership/job_persistence.cc
@@ -8,7 +8,7 @@
 // While the state store is silent, users alone are a reason to try a final commit; it is asked for
 // the lease all the time.
 void JobPersistenceSchedule::tick(LedPartition& led) {
-  const bool store_silent = runtime_.now() - state_store_.last_good() >= k::kStateSilentMs;
+  const bool store_silent = runtime_.now() - state_store_.last_good() >= k::kStateStoreSilenceMs;
   for (const auto& job : led.scheduler->jobs_to_record()) persist_job(led, job, store_silent);
   if (store_silent) return;
   finalizer_.commit_cancelled_while_waiting(led);
@@ -24,7 +24,7 @@
   if (led.scheduler->is_finalizing(job) || led.scheduler->is_complete(job)) {
     if (finalizer_.retry_due(persistence) && !store_silent)
       finalizer_.commit(led, job, [](int, const std::string&) {});
-  } else if (runtime_.now() - persistence.last_commit_at >= k::kProgressEveryMs) {
+  } else if (runtime_.now() - persistence.last_commit_at >= k::kProgressIntervalMs) {
     progress_.record(led, job);
   }
 }
--- a/src/leadership/leadership_votes.cc
+++ b/src/leadership/leadership_votes.cc
@@ -13,7 +13,8 @@
     : runtime_(runtime),
       settings_(settings),
       state_store_(state_store),
-      last_request_number_(static_cast<std::uint64_t>(runtime.random() * k::kFirstNumberRange)) {}
+      last_request_number_(
+          static_cast<std::uint64_t>(runtime.random() * k::kMaxInitialRequestNumber)) {}
 
 // Invariant 6: a controller that is not surely the leader does nothing. It is sure while its lease
 // is alive or, while nobody reaches the state store, while all peers have voted not to claim its
@@ -33,17 +34,17 @@
 std::optional<peer_rpc::VoteRequest> LeadershipVotes::next_request(
     std::vector<std::pair<int, std::uint64_t>> partitions) {
   const Ms now = runtime_.now();
-  if (partitions.empty() || now - state_store_.last_good() < k::kStateSilentMs ||
-      now - requested_at_ < k::kVoteRequestEveryMs)
+  if (partitions.empty() || now - state_store_.last_good() < k::kStateStoreSilenceMs ||
+      now - requested_at_ < k::kVoteRequestIntervalMs)
     return std::nullopt;
   requested_at_ = now;
   peer_rpc::VoteRequest request;
   request.number = ++last_request_number_;
-  request.ttl = k::kVoteMs;
+  request.ttl = k::kVoteTtlMs;
   request.store_revision = state_store_.view().store_revision;
   request.partitions = std::move(partitions);
   request_sent_at_[request.number] = now;
-  while (request_sent_at_.size() > k::kOpenVoteRequests)
+  while (request_sent_at_.size() > k::kMaxPendingVoteRequests)
     request_sent_at_.erase(request_sent_at_.begin());
   return request;
 }
@@ -55,8 +56,8 @@
   // Our view stands still while votes let us act. What the peer may have told its users must be
   // known here first: otherwise the tasks of such a job go on until the outage is over.
   state_store_.replica().merge_finished(vote.finished);
-  const Ms until =
-      sent_at->second + static_cast<Ms>(k::kVoteMs * (1 - k::kDrift)) - k::kLeaseMarginMs;
+  const Ms until = sent_at->second + static_cast<Ms>(k::kVoteTtlMs * (1 - k::kClockDriftShare)) -
+                   k::kLeaseMarginMs;
   Ms& valid_until = vote_valid_until_[node];
   valid_until = std::max(valid_until, until);
 }
--- a/src/leadership/machine_transfers.cc
+++ b/src/leadership/machine_transfers.cc
@@ -66,7 +66,7 @@
 
 void MachineTransfers::retry(const LeadershipTerm& term, const Machines& machines,
                              const CompareAndSwap& swap) {
-  runtime_.after(k::kRetryMs, [this, term, machines, swap] {
+  runtime_.after(k::kRetryDelayMs, [this, term, machines, swap] {
     if (!led_.find(term)) return;
     if (led_.acting(term.partition))
       commit(term, machines, swap);
--- a/src/leadership/partition_activation.cc
+++ b/src/leadership/partition_activation.cc
@@ -40,7 +40,7 @@
     LedPartition* led = led_.find(term);
     if (!led) return;
     if (!rows) {
-      runtime_.after(k::kRetryMs, [this, term] { load_progress(term); });
+      runtime_.after(k::kRetryDelayMs, [this, term] { load_progress(term); });
       return;
     }
     open(*led, take_progress(*led, *rows));
--- a/src/leadership/partition_claims.cc
+++ b/src/leadership/partition_claims.cc
@@ -43,7 +43,7 @@
   const auto postponed = postponed_until_.find(partition);
   if (postponed != postponed_until_.end() && now < postponed->second) return true;
   return last_leader(partition) != settings_.node &&
-         now - started_at_ < k::kVoteMs + k::kLeaseMarginMs;
+         now - started_at_ < k::kVoteTtlMs + k::kLeaseMarginMs;
 }
 
 // The preferred leader comes first, and whoever hears workers comes before those that do not.
@@ -53,9 +53,9 @@
   if (preferred != settings_.node) {
     const bool preferred_may_claim =
         state_store_.view().nodes.contains(preferred) && !peers_.has_lost_workers(preferred);
-    wait = preferred_may_claim ? k::kClaimPreferredAliveMs : k::kClaimOtherMs;
+    wait = preferred_may_claim ? k::kClaimDelayPreferredAliveMs : k::kClaimDelayPreferredLostMs;
   }
-  if (!workers_.hears_workers()) wait += k::kClaimWorkersLostMs;
+  if (!workers_.hears_workers()) wait += k::kClaimDelayWorkersLostMs;
   return wait;
 }
 
@@ -84,7 +84,7 @@
   if (outcome == CasOutcome::ok && lease_lasts) activation_.activate({partition, revision});
   if ((outcome == CasOutcome::unknown || outcome == CasOutcome::superseded) && lease_lasts)
     in_doubt_.insert(partition);
-  runtime_.after(outcome == CasOutcome::refused ? k::kOverLimitMs : 0,
+  runtime_.after(outcome == CasOutcome::refused ? k::kThrottledRetryDelayMs : 0,
                  [this, partition] { claiming_.erase(partition); });
 }
 
--- a/src/leadership/partition_handover.cc
+++ b/src/leadership/partition_handover.cc
@@ -15,13 +15,13 @@
 // A partition is given up only while the state store surely hears of it.
 bool PartitionHandover::may_relinquish() const {
   return state_store_.lease_alive() &&
-         runtime_.now() - state_store_.last_good() < k::kStateSilentMs;
+         runtime_.now() - state_store_.last_good() < k::kStateStoreSilenceMs;
 }
 
 bool PartitionHandover::may_fail_back_to(const std::string& preferred) const {
   const auto& nodes = state_store_.view().nodes;
   const auto node = nodes.find(preferred);
-  return node != nodes.end() && runtime_.now() - node->second.seen >= k::kFailbackAfterMs &&
+  return node != nodes.end() && runtime_.now() - node->second.seen >= k::kFailbackDelayMs &&
          peers_.alive(preferred) && !peers_.has_lost_workers(preferred);
 }
 
@@ -74,7 +74,7 @@
       deleting_claims_.erase(claim.partition);
       return;
     }
-    runtime_.after(k::kRetryMs, [this, claim] { delete_claim(claim); });
+    runtime_.after(k::kRetryDelayMs, [this, claim] { delete_claim(claim); });
   };
   state_store_.compare_and_swap(std::move(swap));
 }
--- a/src/leadership/partition_leader.cc
+++ b/src/leadership/partition_leader.cc
@@ -141,7 +141,7 @@
   router_.release_held();
   for (auto& [partition, led] : led_)
     if (led.active) tick_partition(led);
-  if (runtime_.now() - status_sent_at_ >= k::kStatusEveryMs) broadcast_status();
+  if (runtime_.now() - status_sent_at_ >= k::kPeerStatusIntervalMs) broadcast_status();
 }
 
 void PartitionLeader::tick_partition(LedPartition& led) {
@@ -167,7 +167,7 @@
       status.partition_loads.emplace_back(partition, led.scheduler->load(now));
   status.use = state_store_.use();
   status.hears_workers = workers_.hears_workers();
-  status.features = k::kFeatures;
+  status.features = k::kBuildFeatureBits;
   status.conversion = conversion();
   hooks_.broadcast(status);
 }
--- a/src/leadership/peer_directory.cc
+++ b/src/leadership/peer_directory.cc
@@ -13,7 +13,7 @@
 }
 
 bool PeerDirectory::is_fresh(const Entry& entry) const {
-  return runtime_.now() - entry.received_at < k::kStatusStaleMs;
+  return runtime_.now() - entry.received_at < k::kPeerStatusTtlMs;
 }
 
 bool PeerDirectory::alive(const std::string& node) const {
--- a/src/leadership/progress_recorder.cc
+++ b/src/leadership/progress_recorder.cc
@@ -68,7 +68,7 @@
     return commit(led, job, nonce, std::move(batch), true);
   }
   // A look at all jobs in every tick would cost more than the conversion itself.
-  led.look_for_conversion_at = runtime_.now() + k::kConversionLookMs;
+  led.look_for_conversion_at = runtime_.now() + k::kConversionScanPauseMs;
 }
 
 // Each value is guarded by its own revision, so a late copy of an earlier batch cannot undo a later
--- a/src/leadership/vote_granter.cc
+++ b/src/leadership/vote_granter.cc
@@ -16,8 +16,8 @@
     state_store_.replica().merge_claim(partition, node, revision);
   auto finished = state_store_.replica().finished_since(request.store_revision);
   if (!finished || !may_vote(node, request)) return {request.number, false, {}};
-  const Ms until =
-      runtime_.now() + static_cast<Ms>(static_cast<double>(request.ttl) * (1 + k::kDrift));
+  const Ms until = runtime_.now() +
+                   static_cast<Ms>(static_cast<double>(request.ttl) * (1 + k::kClockDriftShare));
   for (const auto& [partition, revision] : request.partitions)
     claims_.postpone_until(partition, until);
   return {request.number, true, std::move(*finished)};
@@ -27,8 +27,8 @@
 // last seen there. A claim of ours that may still land forbids it. An earlier process of this node
 // had a lease that is ended before we have one, so none of its claims can land any more.
 bool VoteGranter::may_vote(const std::string& node, const peer_rpc::VoteRequest& request) const {
-  if (!state_store_.view().ready || state_store_.lease_id() == 0 || request.ttl > k::kVoteMs ||
-      runtime_.now() - state_store_.last_good() < k::kStateSilentMs)
+  if (!state_store_.view().ready || state_store_.lease_id() == 0 || request.ttl > k::kVoteTtlMs ||
+      runtime_.now() - state_store_.last_good() < k::kStateStoreSilenceMs)
     return false;
   return std::all_of(request.partitions.begin(), request.partitions.end(), [&](const auto& asked) {
     const auto& [partition, revision] = asked;
--- a/src/leadership/worker_commands.cc
+++ b/src/leadership/worker_commands.cc
@@ -67,14 +67,14 @@
                                   const PartitionScheduler::KillBatch& kill) {
   runtime_.http({kill.addr, "POST", "/commands",
                  codec::commands_body(kill.fencing_token, kill.incarnation, kill.commands),
-                 k::kCommandTimeoutMs, true},
+                 k::kWorkerRequestTimeoutMs, true},
                 [this, term, machine = kill.machine](const HttpReply& reply) {
                   if (reply.status == http_status::kNoAnswer) retry_kills(term, machine);
                 });
 }
 
 void WorkerCommands::retry_kills(const LeadershipTerm& term, const std::string& machine) {
-  runtime_.after(k::kRetryMs, [this, term, machine] {
+  runtime_.after(k::kRetryDelayMs, [this, term, machine] {
     LedPartition* led = led_.find(term);
     if (!led || !led_.acting(term.partition)) return;
     led->scheduler->retry_kills(machine);
--- a/src/leadership/worker_liveness.cc
+++ b/src/leadership/worker_liveness.cc
@@ -19,7 +19,7 @@
   silent_ms_ += std::min(now - std::exchange(counted_at_, now), 2 * k::kTickMs);
   if (state_store_.view().machines.empty()) silent_ms_ = 0;
   if (silent_ms_ < static_cast<Ms>(settings_.heartbeat_interval_s * 1000 / 2) ||
-      now - probed_at_ < k::kProbeEveryMs)
+      now - probed_at_ < k::kProbeIntervalMs)
     return;
   probed_at_ = now;
   probe_random_worker();
@@ -30,7 +30,7 @@
   const auto offset =
       static_cast<std::ptrdiff_t>(runtime_.random() * static_cast<double>(machines.size()));
   const std::string& addr = std::next(machines.begin(), offset)->second.record.addr;
-  runtime_.http({addr, "GET", "/inspect", "", k::kCommandTimeoutMs, true},
+  runtime_.http({addr, "GET", "/inspect", "", k::kWorkerRequestTimeoutMs, true},
                 [this](const HttpReply& reply) {
                   if (reply.status == http_status::kOk) heard();
                 });
@@ -38,7 +38,7 @@
 
 bool WorkerLiveness::hears_workers() const {
   return silent_ms_ <
-         static_cast<Ms>(settings_.heartbeat_interval_s * 1000 * 5 / 4) + k::kWorkerSilenceMs;
+         static_cast<Ms>(settings_.heartbeat_interval_s * 1000 * 5 / 4) + k::kWorkerSilenceMarginMs;
 }
 
 }  // namespace eiderreel
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -39,9 +39,9 @@
 
 HttpServer::HttpServer(event_base* base, OnRequest on_request)
     : base_(base), on_request_(std::move(on_request)), server_(evhttp_new(base)) {
-  evhttp_set_max_body_size(server_.get(), static_cast<ev_ssize_t>(k::kBodyReadMax));
-  evhttp_set_max_headers_size(server_.get(), k::kHeadersMax);
-  evhttp_set_timeout(server_.get(), k::kIdleConnectionS);
+  evhttp_set_max_body_size(server_.get(), static_cast<ev_ssize_t>(k::kMaxBodyReadBytes));
+  evhttp_set_max_headers_size(server_.get(), k::kMaxHeaderBytes);
+  evhttp_set_timeout(server_.get(), k::kConnectionIdleTimeoutS);
   evhttp_set_allowed_methods(server_.get(), kAllowedMethods);
   evhttp_set_gencb(server_.get(), &HttpServer::on_http, this);
 }
--- a/src/net/peer_links.cc
+++ b/src/net/peer_links.cc
@@ -62,7 +62,7 @@
   bufferevent* connection = link.connection.get();
   bufferevent_setcb(connection, nullptr, nullptr, &PeerLinks::on_outbound_event, &link);
   // Gives up a link that cannot be opened as well as one whose bytes are not taken.
-  const timeval timeout = to_timeval(k::kPeerStuckMs);
+  const timeval timeout = to_timeval(k::kPeerStallTimeoutMs);
   bufferevent_set_timeouts(connection, nullptr, &timeout);
   bufferevent_enable(connection, EV_WRITE | EV_READ);
   sockaddr_in address = to_sockaddr(link.address);
@@ -74,7 +74,7 @@
 void PeerLinks::drop_and_redial(OutboundLink& link) {
   link.connection.reset();
   link.connected = false;
-  const timeval delay = to_timeval(k::kPeerRedialMs);
+  const timeval delay = to_timeval(k::kPeerReconnectDelayMs);
   event_add(link.redial.get(), &delay);
 }
 
@@ -92,7 +92,7 @@
   OutboundLink& link = found->second;
   if (!link.connection || !link.connected) return;
   bufferevent* connection = link.connection.get();
-  if (evbuffer_get_length(bufferevent_get_output(connection)) > k::kPeerBacklogMaxBytes) {
+  if (evbuffer_get_length(bufferevent_get_output(connection)) > k::kMaxPeerBacklogBytes) {
     drop_and_redial(link);
     return;
   }
@@ -126,7 +126,7 @@
   while (evbuffer_copyout(input, header.data(), header.size()) ==
          static_cast<ev_ssize_t>(header.size())) {
     const std::uint32_t length = decode_length(header);
-    if (length > k::kPeerFrameMaxBytes) {  // whoever sends this is no controller
+    if (length > k::kMaxPeerFrameBytes) {  // whoever sends this is no controller
       self->inbound_.erase(connection);
       return;
     }
--- a/src/observability/latency_histogram.cc
+++ b/src/observability/latency_histogram.cc
@@ -11,7 +11,7 @@
 
 LatencyHistogram::LatencyHistogram()
     : histogram_(boost::histogram::make_histogram(
-          Axis(k::kLatencyBuckets, k::kLatencyLowMs, k::kLatencyHighMs))) {}
+          Axis(k::kLatencyBuckets, k::kMinLatencyMs, k::kMaxLatencyMs))) {}
 
 void LatencyHistogram::add(Ms latency) {
   histogram_(static_cast<double>(std::max<Ms>(latency, 1)));
--- a/src/peer_rpc/messages.h
+++ b/src/peer_rpc/messages.h
@@ -32,7 +32,7 @@
   std::vector<std::pair<int, PartitionLoad>> partition_loads;
   StoreUsage use;              // of the state store by the sender
   bool hears_workers = true;   // whether the sender hears of workers
-  std::uint64_t features = 0;  // of the sender's build, see constants::kFeatures
+  std::uint64_t features = 0;  // of the sender's build, see constants::kBuildFeatureBits
   // Nothing: the sender takes no part in cluster versions.
   std::optional<ConversionProgress> conversion = std::nullopt;
 };
--- a/src/scheduler/capacity_totals.cc
+++ b/src/scheduler/capacity_totals.cc
@@ -76,11 +76,11 @@
 }
 
 bool CapacityTotals::cost_saving() const {
-  return jobs_.slack_s() >= constants::kCostSavingBoots * machines_.longest_boot_s();
+  return jobs_.slack_s() >= constants::kCostSavingBootFactor * machines_.longest_boot_s();
 }
 
 Ms CapacityTotals::idle_keep_ms() const {
-  return cost_saving() ? constants::kIdleReturnMs : constants::kIdleKeepMs;
+  return cost_saving() ? constants::kIdleReleaseMs : constants::kShortSlackIdleReleaseMs;
 }
 
 }  // namespace eiderreel
--- a/src/scheduler/consolidation.cc
+++ b/src/scheduler/consolidation.cc
@@ -15,13 +15,13 @@
 void Consolidation::update(Ms now) {
   const double wanted = jobs_.waiting_cpus(now);
   const double surplus = totals_.free_in_use() - totals_.largest_machine_cpus() / 2 -
-                         constants::kConsolidateSpareRoom * totals_.total_cpus() - wanted;
+                         constants::kConsolidationSpareShare * totals_.total_cpus() - wanted;
   if (surplus <= 0) surplus_since_ = now;
   if (wanted > totals_.free_in_use()) {
     stop(wanted - totals_.free_in_use(), now);
-  } else if (surplus > 0 && now - surplus_since_ >= constants::kConsolidateAfterMs) {
+  } else if (surplus > 0 && now - surplus_since_ >= constants::kConsolidationDelayMs) {
     start(surplus, now);
-    surplus_since_ = now - constants::kConsolidateAfterMs + constants::kConsolidateNextMs;
+    surplus_since_ = now - constants::kConsolidationDelayMs + constants::kConsolidationIntervalMs;
   }
 }
 
--- a/src/scheduler/delay_scheduling.cc
+++ b/src/scheduler/delay_scheduling.cc
@@ -19,12 +19,13 @@
     return waited < std::min(machine.fetch_ms(job), policy_.heartbeat_round_ms()) &&
            totals_.free_with_image(job);
   const bool has_image = machine.images.contains(job.image);
-  if (waited >= (has_image ? constants::kServicePackMs : constants::kImageWaitMs)) return false;
+  if (waited >= (has_image ? constants::kServicePackWaitMs : constants::kServiceImageWaitMs))
+    return false;
   const ImageSurvey& survey = survey_image(job, now);
   if (!has_image) return survey.found;
   // Joining pays only where the heartbeat of such a machine is likely within the wait.
-  return survey.service_machines >= constants::kServiceMachines &&
-         machine.service_cpus < survey.most_service_cpus * constants::kServicesAlike;
+  return survey.service_machines >= constants::kMinServiceMachines &&
+         machine.service_cpus < survey.most_service_cpus * constants::kFullestServiceShare;
 }
 
 // Looks at all machines, so at most once a tick for each service that waits.
@@ -48,7 +49,7 @@
 
 // The time in which the machines to be filled first have sent a heartbeat.
 Ms DelayScheduling::pack_ms() const {
-  return std::min(constants::kPackWaitMs, policy_.heartbeat_round_ms());
+  return std::min(constants::kArrayPackWaitMs, policy_.heartbeat_round_ms());
 }
 
 // No longer than all other machines take to send a heartbeat. Services have no such time: they wait
@@ -57,7 +58,7 @@
                                            Ms now) const {
   if (!machine.consolidating) return false;
   const Ms longest =
-      job.is_service() ? constants::kServicePackMs : pack_ms() + policy_.heartbeat_round_ms();
+      job.is_service() ? constants::kServicePackWaitMs : pack_ms() + policy_.heartbeat_round_ms();
   return now - job.waiting_since < longest;
 }
 
--- a/src/scheduler/draining.cc
+++ b/src/scheduler/draining.cc
@@ -30,7 +30,7 @@
   for (ScheduledMachine* machine : candidates) {
     if (machine->type->cpus > cpus) continue;
     cpus -= machine->type->cpus;
-    machine->cordoned_until = now + constants::kCordonMs;
+    machine->cordoned_until = now + constants::kCordonTtlMs;
     if (drain) machine->drain_until = machine->cordoned_until;
   }
 }
--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -90,7 +90,7 @@
   if (!machine.lease_expired && now - machine.last_reply < policy_.lease_ms)
     record_lost_reply(machine, now);
   if (machine.lease_expired && has_inbound_loss(machine))
-    machine.lost_replies = constants::kInboundLossAnswers - 1;
+    machine.lost_replies = constants::kInboundLossReplies - 1;
   machine.token_announcements = 0;
 }
 
@@ -120,8 +120,8 @@
   const std::uint64_t fencing_token = machines_.fencing_token_of(machine);
   if (machine.token_announcements++ == 0) machine.first_announced_at = now;
   // It was told our fencing token, twice, and does not show it.
-  if (machine.token_announcements > constants::kTokenAnnouncements &&
-      now - machine.first_announced_at > constants::kWorkerPatienceMs)
+  if (machine.token_announcements > constants::kMaxTokenAnnouncements &&
+      now - machine.first_announced_at > constants::kWorkerReplyTimeoutMs)
     return stale_reply(fencing_token);
   // Invariant 7. This answer renews the lease like any other. Without kills in it, tasks of a job
   // whose user had been told that it is cancelled outlived `cancel_s`: machines that hung at the
@@ -184,7 +184,7 @@
     ScheduledJob* const job = bound->job;
     if (job && status.exit_reason == ExitReason::error) record_failure(machine, *job, now);
     if (job && status.exit_reason == ExitReason::no_such)
-      job->not_before = now + constants::kJobBackoffMs;
+      job->not_before = now + constants::kInitialJobBackoffMs;
     bindings_.release(machine, key, Requeue::yes, now);
   }
   out.push_back(clear_command(key, status.attempt));
--- a/src/scheduler/job_queue.cc
+++ b/src/scheduler/job_queue.cc
@@ -46,7 +46,8 @@
   if (spec.deadline_s) {
     const double left_s = *spec.deadline_s - static_cast<double>(job.ready - job.submitted) / 1000;
     const double slack = std::max(0.0, left_s - spec.estimate_s);
-    slack_s_ = slack_s_ == 0 ? slack : slack_s_ + (slack - slack_s_) * constants::kSlackWeight;
+    slack_s_ =
+        slack_s_ == 0 ? slack : slack_s_ + (slack - slack_s_) * constants::kSlackAverageWeight;
   }
   const auto objective = policy_.start_objectives_s.find(spec.jobclass);
   if (objective == policy_.start_objectives_s.end() || objective->second <= 0) return;
@@ -85,7 +86,7 @@
 }
 
 void JobQueue::sort_if_due(Ms now) {
-  if (now - sorted_at_ >= constants::kReorderMs) sort(now);
+  if (now - sorted_at_ >= constants::kQueueSortIntervalMs) sort(now);
 }
 
 const std::vector<ScheduledJob*>& JobQueue::waiting() {
@@ -110,7 +111,7 @@
   bool any_fetch = false;
   for (ScheduledJob* job : waiting()) {
     ++steps_;
-    delayed.emplace_back(job, machine.fetch_ms(*job) * constants::kFetchWeight);
+    delayed.emplace_back(job, machine.fetch_ms(*job) * constants::kFetchPenaltyFactor);
     any_fetch |= delayed.back().second > 0;
   }
   if (any_fetch)
--- a/src/scheduler/load_report.cc
+++ b/src/scheduler/load_report.cc
@@ -43,7 +43,7 @@
     if (job->spec.spot) load.waiting_spot_cpus += wanted;
     if (job->is_service()) load.waiting_service_cpus += wanted;
     load.waiting_core_s += job->queued_cpus() * job->spec.estimate_s;
-    if (load.unschedulable.size() >= constants::kUnschedulableMost) continue;
+    if (load.unschedulable.size() >= constants::kMaxUnschedulableJobs) continue;
     if (const double lack = std::min(wanted, unschedulable_cpus(*job, now)); lack > 0)
       load.unschedulable.emplace_back(job->spec.id, lack);
   }
--- a/src/scheduler/machine_health.cc
+++ b/src/scheduler/machine_health.cc
@@ -12,8 +12,8 @@
 
 void quarantine(ScheduledMachine& machine, Ms now) {
   machine.quarantine_ms = machine.quarantine_ms > 0
-                              ? std::min(machine.quarantine_ms * 2, constants::kQuarantineMaxMs)
-                              : constants::kQuarantineMs;
+                              ? std::min(machine.quarantine_ms * 2, constants::kMaxQuarantineMs)
+                              : constants::kInitialQuarantineMs;
   machine.quarantine_until = now + machine.quarantine_ms;
 }
 
@@ -23,17 +23,17 @@
 // failed on several machines no longer counts against machines, and pauses itself instead.
 void record_failure(ScheduledMachine& machine, ScheduledJob& job, Ms now) {
   // Not for ever; the machine may be well again, and the only one with room.
-  job.avoided_machines[machine.id] = now + constants::kQuarantineMaxMs;
-  if (static_cast<int>(job.avoided_machines.size()) >= constants::kJobBadMachines &&
+  job.avoided_machines[machine.id] = now + constants::kMaxQuarantineMs;
+  if (static_cast<int>(job.avoided_machines.size()) >= constants::kJobFailureMachines &&
       job.done == 0) {
-    job.backoff = job.backoff > 0 ? std::min(job.backoff * 2, constants::kJobBackoffMaxMs)
-                                  : constants::kJobBackoffMs;
+    job.backoff = job.backoff > 0 ? std::min(job.backoff * 2, constants::kMaxJobBackoffMs)
+                                  : constants::kInitialJobBackoffMs;
     job.not_before = now + job.backoff;
     return;
   }
-  if (++machine.errors < constants::kUnhealthyErrors) return;
+  if (++machine.errors < constants::kQuarantineFailures) return;
   // After the quarantine a single failure begins the next one.
-  machine.errors = constants::kUnhealthyErrors - 1;
+  machine.errors = constants::kQuarantineFailures - 1;
   quarantine(machine, now);
 }
 
@@ -46,11 +46,11 @@
 // answer that it may have had, so its lease would never seem over, and it would be given tasks
 // again and again. One lost answer proves nothing: it then gets one task at a time until one shows.
 void record_lost_reply(ScheduledMachine& machine, Ms now) {
-  if (++machine.lost_replies >= constants::kInboundLossAnswers) quarantine(machine, now);
+  if (++machine.lost_replies >= constants::kInboundLossReplies) quarantine(machine, now);
 }
 
 bool has_inbound_loss(const ScheduledMachine& machine) {
-  return machine.lost_replies >= constants::kInboundLossAnswers;
+  return machine.lost_replies >= constants::kInboundLossReplies;
 }
 
 bool on_trial(const ScheduledMachine& machine) {
--- a/src/scheduler/partition_scheduler.cc
+++ b/src/scheduler/partition_scheduler.cc
@@ -117,7 +117,7 @@
   if (has_job(spec.id)) return;
   const std::optional<std::size_t> team = parts_->teams.find(spec.team);
   if (!team) return;
-  if (parts_->images.size() >= constants::kImagesKnown + parts_->jobs.size()) forget_images();
+  if (parts_->images.size() >= constants::kMaxRetainedImages + parts_->jobs.size()) forget_images();
   auto job = std::make_unique<ScheduledJob>();
   job->spec = spec;
   job->revision = revision;
@@ -281,9 +281,9 @@
 std::vector<std::string> PartitionScheduler::tick(Ms now) {
   parts_->now = now;
   std::vector<std::string> lost;
-  const Ms limit =
-      static_cast<Ms>(static_cast<double>(parts_->policy.lease_ms) * (1 + constants::kDrift)) +
-      constants::kProofMarginMs;
+  const Ms limit = static_cast<Ms>(static_cast<double>(parts_->policy.lease_ms) *
+                                   (1 + constants::kClockDriftShare)) +
+                   constants::kWorkerLeaseMarginMs;
   for (const auto& [id, machine] : parts_->machines) {
     if (machine->lease_expired || now - machine->last_reply <= limit) continue;
     // Invariant 5: no answer could have renewed the lease; the worker has killed all it had.
@@ -315,8 +315,9 @@
   // themselves waits long. The others wait no longer than a worker would between two heartbeats.
   // One that runs services has their images: the next service should find it waiting.
   const bool quiet = found->tasks.empty() || found->service_cpus > 0;
-  return quiet ? std::min(constants::kDeferIdleMs, parts_->policy.heartbeat_interval_ms * 4 / 5)
-               : constants::kDeferBusyMs;
+  return quiet
+             ? std::min(constants::kMaxIdleDeferralMs, parts_->policy.heartbeat_interval_ms * 4 / 5)
+             : constants::kMaxBusyDeferralMs;
 }
 
 bool PartitionScheduler::has_waiting() { return parts_->jobs.has_waiting(); }
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -39,14 +39,14 @@
   // most cases; stopped at once, most arrays that were late had lost their last tasks again and
   // again.
   const Ms reclaim_after =
-      std::max(constants::kReclaimSoonestMs, inputs_.policy.fair_share_start_ms -
-                                                 constants::kReclaimMarginMs -
-                                                 inputs_.policy.heartbeat_round_ms());
+      std::max(constants::kMinReclaimDelayMs, inputs_.policy.fair_share_start_ms -
+                                                  constants::kReclaimMarginMs -
+                                                  inputs_.policy.heartbeat_round_ms());
   for (ScheduledJob* job : jobs_.waiting()) {
     ++steps_;
     const Ms waited = now - job->waiting_since;
     const bool by_priority =
-        job->priority > Priority::standard && waited >= constants::kPreemptAfterMs;
+        job->priority > Priority::standard && waited >= constants::kPreemptionDelayMs;
     // What fits into room that is free on machines which have not sent a heartbeat yet needs no
     // victims. On jelajah-grown some jobs had each of their tasks stopped for nothing.
     const bool by_fair_share = waited >= reclaim_after && within_fair_share(*job) &&
--- a/src/scheduler/reservation.cc
+++ b/src/scheduler/reservation.cc
@@ -14,7 +14,7 @@
   if (held_ && !still_needed(now)) held_.reset();
   if (held_) return;
   // By then every machine has sent a heartbeat since the job starves.
-  const Ms after = constants::kStarvedMs + policy_.heartbeat_round_ms();
+  const Ms after = constants::kStarvationAgeMs + policy_.heartbeat_round_ms();
   for (const ScheduledJob* job : jobs_.waiting()) {
     if (!job->starved || now - job->ready < after ||
         !rules_.may_start(machine, *job, unreconciled, now) ||
--- a/src/scheduler/scheduled_job.cc
+++ b/src/scheduler/scheduled_job.cc
@@ -65,15 +65,16 @@
   const Ms run = static_cast<Ms>(spec.estimate_s * 1000) + constants::kStartAllowanceMs;
   missed_objectives = 0;
   // Whatever its objectives, and however many others are more urgent, a job begins in time.
-  starved = !has_started && now - ready >= constants::kStarvedMs;
-  latest_start = ready + constants::kUnboundedMs;
+  starved = !has_started && now - ready >= constants::kStarvationAgeMs;
+  latest_start = ready + constants::kDefaultLatestStartMs;
   if (target_times.empty()) return;
   std::size_t missed = 0;
   while (missed < target_times.size() && now + run > target_times[missed]) ++missed;
   missed_objectives = static_cast<int>(missed);
   latest_start = missed < target_times.size() ? target_times[missed] - run : ready;
   const Ms span = target_times.back() - submitted;
-  if (span > 0 && now - submitted > constants::kPatienceTargets * span) missed_objectives = 0;
+  if (span > 0 && now - submitted > constants::kOverdueObjectiveFactor * span)
+    missed_objectives = 0;
 }
 
 }  // namespace eiderreel
--- a/src/scheduler/scheduled_machine.cc
+++ b/src/scheduler/scheduled_machine.cc
@@ -23,8 +23,9 @@
 // preempt them.
 double ScheduledMachine::service_headroom() const {
   if (service_cpus <= 0 || !type) return 0;
-  const double most = type->cpus * constants::kReserveShare;
-  return service_size <= most ? std::min(most, constants::kReserveReplicas * service_size) : 0;
+  const double most = type->cpus * constants::kMaxServiceHeadroomShare;
+  return service_size <= most ? std::min(most, constants::kServiceHeadroomReplicas * service_size)
+                              : 0;
 }
 
 Ms ScheduledMachine::empty_at() const {
--- a/src/scheduler/task_commands.cc
+++ b/src/scheduler/task_commands.cc
@@ -38,11 +38,11 @@
   const std::uint32_t index = job.next_queued();
   // Invariant 2: the attempt is the fencing token shifted, plus a counter.
   const std::uint64_t attempt =
-      (machines_.fencing_token_of(machine) << constants::kAttemptBits) + ++counter_;
+      (machines_.fencing_token_of(machine) << constants::kAttemptCounterBits) + ++counter_;
   const Ms fetch = machine.fetch_ms(job);  // the binding counts its image as there
   BoundTask& task = bindings_.bind(machine, job, index, attempt, TaskPhase::pulling, now);
   if (job.starved) {
-    task.kept_until = now + fetch + constants::kBegunMs;
+    task.kept_until = now + fetch + constants::kStarvedTaskProtectionMs;
     job.starved = false;  // it has begun: the next task takes its turn
     reservation_.job_started(job);
   }
--- a/src/state_store/compare_and_swap.h
+++ b/src/state_store/compare_and_swap.h
@@ -39,7 +39,7 @@
   std::vector<codec::Write> writes;
   std::string nonce;
   RequestPriority request_priority = RequestPriority::user;
-  int tries = constants::kCommitTries;
+  int tries = constants::kMaxCommitAttempts;
   /// Called once. `store_revision` is that of the writes where the outcome is `ok`, otherwise 0.
   std::function<void(CasOutcome, std::uint64_t store_revision)> done;
   /// An earlier try of it is without answer. A later try that is refused says nothing of that one,
--- a/src/state_store/compare_and_swapper.cc
+++ b/src/state_store/compare_and_swapper.cc
@@ -75,7 +75,7 @@
     if (swap->tries_left <= 1)
       transaction.done(CasOutcome::unknown, 0);
     else
-      retry(swap, k::kRetryMs);
+      retry(swap, k::kRetryDelayMs);
   } else {
     transaction.done(CasOutcome::refused, 0);
   }
@@ -92,7 +92,7 @@
   // Invariant 8: an earlier try of ours may be what the preconditions met.
   if (swap->transaction.doubt) {
     swap->conflict_revision = codec::parse_store_revision(reply.body).value_or(0);
-    swap->reads_left = k::kCommitTries;
+    swap->reads_left = k::kMaxCommitAttempts;
     read_back(swap);
   } else {
     swap->transaction.done(CasOutcome::conflict, 0);
@@ -111,7 +111,7 @@
 void CompareAndSwapper::end_without_record(const SwapPtr& swap) {
   const bool doubt = swap->transaction.doubt;
   if (doubt && swap->tries_left > 1) {
-    retry(swap, k::kRetryMs);
+    retry(swap, k::kRetryDelayMs);
     return;
   }
   const CasOutcome outcome = doubt ? CasOutcome::unknown : CasOutcome::refused;
@@ -129,7 +129,7 @@
     return;
   }
   const bool learnt = dependencies_.acting_version.record_revision() != guard_revision;
-  retry(swap, learnt ? 0 : k::kVersionRetryMs);
+  retry(swap, learnt ? 0 : k::kVersionRetryDelayMs);
 }
 
 // ------------------------------------------------------------------------- settling doubts
@@ -144,7 +144,7 @@
       swap->transaction.done(CasOutcome::unknown, 0);
     } else {
       --swap->reads_left;
-      dependencies_.runtime.after(k::kRetryMs, [this, swap] { read_back(swap); });
+      dependencies_.runtime.after(k::kRetryDelayMs, [this, swap] { read_back(swap); });
     }
   });
 }
--- a/src/state_store/controller_lease.cc
+++ b/src/state_store/controller_lease.cc
@@ -16,7 +16,7 @@
 // Invariant 6: a lease is counted from the sending of the request that gave it its time, less the
 // drift of the clocks, and it is given up a margin early.
 Ms valid_until(Ms sent) {
-  return sent + static_cast<Ms>(k::kLeaseTtlMs * (1 - k::kDrift)) - k::kLeaseMarginMs;
+  return sent + static_cast<Ms>(k::kLeaseTtlMs * (1 - k::kClockDriftShare)) - k::kLeaseMarginMs;
 }
 
 }  // namespace
@@ -24,7 +24,7 @@
 void ControllerLease::tick() {
   if (id_ == 0)
     acquire();
-  else if (!renewing_ && runtime_.now() - last_renewal_ >= k::kLeaseRenewEveryMs)
+  else if (!renewing_ && runtime_.now() - last_renewal_ >= k::kLeaseRenewIntervalMs)
     renew();
 }
 
@@ -58,7 +58,7 @@
                         replica_.forget_node(settings_.node);
                       const bool failed = status == http_status::kNoAnswer ||
                                           status >= http_status::kTooManyRequests;
-                      runtime_.after(failed ? k::kRetryMs : 0, [this] { acquiring_ = false; });
+                      runtime_.after(failed ? k::kRetryDelayMs : 0, [this] { acquiring_ = false; });
                     }});
 }
 
@@ -73,7 +73,7 @@
                                                 ? codec::parse_lease_id(reply.body)
                                                 : codec::status_error(reply.status);
                       if (!lease_id) {
-                        runtime_.after(k::kRetryMs, [this] { acquiring_ = false; });
+                        runtime_.after(k::kRetryDelayMs, [this] { acquiring_ = false; });
                         return;
                       }
                       id_ = *lease_id;
@@ -104,7 +104,7 @@
   else if (status == http_status::kNotFound)
     lose();
   else  // renewed again after a short pause, and not after a whole interval
-    last_renewal_ = runtime_.now() - k::kLeaseRenewEveryMs + k::kRetryMs;
+    last_renewal_ = runtime_.now() - k::kLeaseRenewIntervalMs + k::kRetryDelayMs;
 }
 
 void ControllerLease::lose() {
--- a/src/state_store/finished_jobs.cc
+++ b/src/state_store/finished_jobs.cc
@@ -16,7 +16,7 @@
 
 void FinishedJobs::add(FinishedJob job) {
   jobs_.push_back(std::move(job));
-  if (jobs_.size() <= constants::kFinishedKept) return;
+  if (jobs_.size() <= constants::kMaxRecentFinishedJobs) return;
   complete_from_ = std::max(complete_from_, jobs_.front().revision);
   jobs_.pop_front();
 }
--- a/src/state_store/finished_jobs.h
+++ b/src/state_store/finished_jobs.h
@@ -9,8 +9,8 @@
 
 namespace eiderreel {
 
-/// The jobs that ended lately, at most constants::kFinishedKept of them, in the order in which this
-/// node learnt of them.
+/// The jobs that ended lately, at most constants::kMaxRecentFinishedJobs of them, in the order in
+/// which this node learnt of them.
 class FinishedJobs {
  public:
   /// Forgets all. From now on it is complete for the jobs that end after `store_revision`.
--- a/src/state_store/node_record_writer.cc
+++ b/src/state_store/node_record_writer.cc
@@ -41,7 +41,7 @@
   const upgrade::ActingVersion& acting_version = dependencies_.acting_version;
   codec::NodeRecord record{.boot = dependencies_.runtime.boot_id(),
                            .lease_id = dependencies_.lease.id(),
-                           .features = k::kFeatures,
+                           .features = k::kBuildFeatureBits,
                            .versions = std::nullopt};
   if (acting_version.enabled())
     record.versions = {acting_version.range(), *dependencies_.replica.view().cluster.version,
@@ -71,7 +71,7 @@
                  upgrade::to_string(version), revision);
     dependencies_.acting_version.record_written(version, revision);
   }
-  dependencies_.runtime.after(written ? 0 : k::kRetryMs, [this] { writing_ = false; });
+  dependencies_.runtime.after(written ? 0 : k::kRetryDelayMs, [this] { writing_ = false; });
 }
 
 }  // namespace eiderreel
--- a/src/state_store/prerequisite_resolver.cc
+++ b/src/state_store/prerequisite_resolver.cc
@@ -9,7 +9,7 @@
   const auto& unresolved = replica_.unresolved();
   const Ms now = runtime_.now();
   if (unresolved.empty() || reading_) {
-    read_at_ = now + constants::kRetryMs;
+    read_at_ = now + constants::kRetryDelayMs;
     return;
   }
   if (now < read_at_) return;
--- a/src/state_store/rate_limiter.cc
+++ b/src/state_store/rate_limiter.cc
@@ -9,7 +9,7 @@
 namespace k = constants;
 
 void RateLimiter::TokenBucket::set_up(double limit, double controllers) {
-  total = limit * k::kBudgetShare;
+  total = limit * k::kUsableRateShare;
   even = total / controllers;
   rate = even;
   tokens = even;
@@ -18,12 +18,12 @@
 void RateLimiter::TokenBucket::refill(double seconds, double unused) {
   rate = even + unused;
   tokens = std::min(rate, tokens + seconds * rate);
-  used *= std::exp(-seconds * 1000.0 / k::kUseMs);
+  used *= std::exp(-seconds * 1000.0 / k::kUsageAveragingMs);
 }
 
 void RateLimiter::TokenBucket::take(double count) {
   tokens -= count;
-  used += count * 1000.0 / k::kUseMs;
+  used += count * 1000.0 / k::kUsageAveragingMs;
 }
 
 RateLimiter::RateLimiter(const Settings& settings) {
@@ -43,12 +43,12 @@
   refilled_at_ = now;
   StoreUsage unused;
   for (const auto& [node, peer] : peers_) {
-    if (now - peer.at >= k::kStatusStaleMs) continue;
+    if (now - peer.at >= k::kPeerStatusTtlMs) continue;
     unused.requests += std::max(0.0, requests_.even - peer.use.requests);
     unused.changes += std::max(0.0, changes_.even - peer.use.changes);
   }
-  requests_.refill(seconds, unused.requests * k::kBorrowedShare);
-  changes_.refill(seconds, unused.changes * k::kBorrowedShare);
+  requests_.refill(seconds, unused.requests * k::kBorrowableShare);
+  changes_.refill(seconds, unused.changes * k::kBorrowableShare);
 }
 
 // Users may run into debt up to what the others would have to leave unused: their changes are few,
@@ -60,7 +60,7 @@
   if (changes == 0) return true;
   const double want = std::min<double>(changes, changes_.rate - 0.5);
   const double reserve =
-      request_priority == RequestPriority::progress ? changes_.even * k::kProgressKeep : 0;
+      request_priority == RequestPriority::progress ? changes_.even * k::kProgressReserveShare : 0;
   return changes_.tokens - want - std::min(reserve, changes_.rate - 0.5 - want) >=
          -debt * (changes_.total - changes_.even);
 }
--- a/src/state_store/rate_limiter.h
+++ b/src/state_store/rate_limiter.h
@@ -39,7 +39,7 @@
     double even = 0;    // a second, the even part of each
     double rate = 0;    // a second, with what the others leave
     double tokens = 0;  // below 0: debt
-    double used = 0;    // a second, on average over kUseMs
+    double used = 0;    // a second, on average over kUsageAveragingMs
     void set_up(double limit, double controllers);
     void refill(double seconds, double unused);
     void take(double count);
--- a/src/state_store/replicated_view.cc
+++ b/src/state_store/replicated_view.cc
@@ -240,7 +240,7 @@
   if (is_final(job)) return true;
   const auto open = view_.jobs.find(job);
   if (open != view_.jobs.end()) return open->second.nonce != nonce;
-  return !incomplete_.contains(job) && runtime_.now() - seen >= k::kOrphanedChunksMs;
+  return !incomplete_.contains(job) && runtime_.now() - seen >= k::kOrphanedChunkAgeMs;
 }
 
 std::vector<std::string> ReplicatedView::orphaned_chunks(std::size_t most) const {
@@ -257,7 +257,7 @@
   if (!view_.finals.emplace(id, end).second) return;
   finished_.add({.id = id, .phase = end.phase, .revision = end.revision});
   final_order_.push_back(id);
-  if (final_order_.size() > k::kFinalCache) {
+  if (final_order_.size() > k::kMaxCachedFinalJobs) {
     view_.finals.erase(final_order_.front());
     final_order_.pop_front();
   }
--- a/src/state_store/request_queue.cc
+++ b/src/state_store/request_queue.cc
@@ -24,7 +24,8 @@
 
 // More than can be served while it waits would only be refused later.
 bool RequestQueue::is_full() const {
-  const double most = std::max(k::kPendingLeast, settings_.state_rps * k::kStateTimeoutMs / 1000);
+  const double most =
+      std::max(k::kMinRequestQueueCapacity, settings_.state_rps * k::kStateStoreTimeoutMs / 1000);
   return static_cast<double>(queue_.size()) >= most;
 }
 
@@ -89,7 +90,7 @@
     // Over the limit after all: nothing was done, so it may go again as it is.
     if (reply.status == http_status::kTooManyRequests &&
         sent->request.priority == RequestPriority::user && runtime_.now() < sent->expires) {
-      runtime_.after(k::kOverLimitMs, [this, sent] { enqueue(std::move(*sent)); });
+      runtime_.after(k::kThrottledRetryDelayMs, [this, sent] { enqueue(std::move(*sent)); });
       return;
     }
     sent->request.done(reply);
--- a/src/state_store/request_queue.h
+++ b/src/state_store/request_queue.h
@@ -20,7 +20,7 @@
   std::string method;
   std::string path;
   std::string body = {};  // empty: none
-  Ms timeout = constants::kStateTimeoutMs;
+  Ms timeout = constants::kStateStoreTimeoutMs;
   int changes = 0;  // puts and deletes in it
   RequestPriority priority = RequestPriority::user;
   std::function<void(const HttpReply&)> done;  // called exactly once
--- a/src/state_store/store_reader.cc
+++ b/src/state_store/store_reader.cc
@@ -107,8 +107,8 @@
   }
   const PageQuery next{.prefix = codec::final_key(""),
                        .after = codec::before_final_key(query->ids.back()),
-                       .page = k::kEndsPage,
-                       .timeout = k::kStateTimeoutMs,
+                       .page = k::kFinalRecordPageItems,
+                       .timeout = k::kStateStoreTimeoutMs,
                        .priority = RequestPriority::user};
   read_page(next, [this, query](const StoreResult<codec::StateList>& page) {
     if (!page) {
@@ -204,7 +204,7 @@
               return;
             }
             waiters_.when_applied(comparison->store_revision, [once] { once({}); });
-            runtime_.after(k::kStateTimeoutMs, [once] {
+            runtime_.after(k::kStateStoreTimeoutMs, [once] {
               once(tl::unexpected(StoreError{.kind = StoreErrorKind::replica_behind,
                                              .http_status = http_status::kOk,
                                              .operation = "catch up",
--- a/src/state_store/store_reader.h
+++ b/src/state_store/store_reader.h
@@ -23,8 +23,8 @@
 struct PageQuery {
   std::string prefix;
   std::string after;  // the last key of the page before; empty: the first page
-  int page = constants::kListPage;
-  Ms timeout = 2 * constants::kStateTimeoutMs;
+  int page = constants::kListPageItems;
+  Ms timeout = 2 * constants::kStateStoreTimeoutMs;
   RequestPriority priority = RequestPriority::urgent;
 };
 
--- a/src/state_store/store_watcher.cc
+++ b/src/state_store/store_watcher.cc
@@ -45,7 +45,7 @@
           return;
         }
         dependencies_.runtime.after(
-            k::kRetryMs, [this, prefix_index, after] { load_page(prefix_index, after); });
+            k::kRetryDelayMs, [this, prefix_index, after] { load_page(prefix_index, after); });
       });
 }
 
@@ -71,7 +71,7 @@
   dependencies_.requests.submit(
       {.method = "GET",
        .path = store_http::watch_path(std::string(followed_keys::kAll), revision_, wait),
-       .timeout = wait + k::kWatchSlackMs,
+       .timeout = wait + k::kWatchTimeoutMarginMs,
        .priority = RequestPriority::urgent,
        .done = [this](const HttpReply& reply) { on_watch_reply(reply); }});
 }
@@ -85,11 +85,11 @@
   const auto changes = reply.status == http_status::kOk ? codec::parse_events(reply.body)
                                                         : codec::status_error(reply.status);
   if (!changes) {
-    dependencies_.runtime.after(k::kRetryMs, [this] { watch(k::kWatchWaitMs); });
+    dependencies_.runtime.after(k::kRetryDelayMs, [this] { watch(k::kWatchLongPollMs); });
     return;
   }
   apply_changes(*changes);
-  dependencies_.runtime.after(pause(), [this] { watch(k::kWatchWaitMs); });
+  dependencies_.runtime.after(pause(), [this] { watch(k::kWatchLongPollMs); });
 }
 
 void StoreWatcher::apply_changes(const codec::StateList& changes) {
@@ -107,8 +107,8 @@
 
 // Following takes no more than a part of the requests, however busy the keys are.
 Ms StoreWatcher::pause() const {
-  const double requests_per_s = dependencies_.rate_limiter.even_requests() * k::kWatchShare;
-  return std::max(k::kWatchPauseMs, static_cast<Ms>(1000.0 / requests_per_s));
+  const double requests_per_s = dependencies_.rate_limiter.even_requests() * k::kWatchRequestShare;
+  return std::max(k::kMinWatchPauseMs, static_cast<Ms>(1000.0 / requests_per_s));
 }
 
 }  // namespace eiderreel
--- a/src/upgrade/coordinator.cc
+++ b/src/upgrade/coordinator.cc
@@ -106,7 +106,7 @@
   CompareAndSwap commit;
   commit.nonce = state_store_.nonce();
   commit.binding = VersionBinding::by_preconditions;
-  commit.tries = k::kStepTries;
+  commit.tries = k::kMaxStepAttempts;
   commit.preconditions = step->preconditions;
   commit.writes = {{codec::version_key(), codec::encode(version, commit.nonce), false},
                    StepHistory::write_of(history, commit.nonce)};
@@ -161,7 +161,8 @@
 // Only steps that can be taken back.
 void Coordinator::tick() {
   const Ms now = runtime_.now();
-  if (!settings_.upgrade.automatic || now - last_automatic_check_ < k::kAutomaticEveryMs) return;
+  if (!settings_.upgrade.automatic || now - last_automatic_check_ < k::kAutomaticStepIntervalMs)
+    return;
   last_automatic_check_ = now;
   if (!may_step_by_itself()) return;
   const StepRequest request{Action::advance, {}};
--- a/src/upgrade/status_report.cc
+++ b/src/upgrade/status_report.cc
@@ -41,7 +41,7 @@
 
 bool StatusReporter::is_current() const {
   const Ms silent_ms = runtime_.now() - state_store_.last_good();
-  return state_store_.view().ready && silent_ms < k::kWatchWaitMs + k::kStateSilentMs;
+  return state_store_.view().ready && silent_ms < k::kWatchLongPollMs + k::kStateStoreSilenceMs;
 }
 
 ConversionReport StatusReporter::conversion() const {
--- a/src/upgrade/step_history.cc
+++ b/src/upgrade/step_history.cc
@@ -35,7 +35,7 @@
 // The record keeps as many of its obstacles as fit into a value.
 codec::Write StepHistory::write_of(StepRecord record, const std::string& nonce) {
   std::string value = codec::encode(record, nonce);
-  while (value.size() > k::kHistoryRecordBytes && !record.obstacles.empty()) {
+  while (value.size() > k::kMaxHistoryRecordBytes && !record.obstacles.empty()) {
     record.obstacles.pop_back();
     value = codec::encode(record, nonce);
   }
@@ -57,12 +57,12 @@
 
 void StepHistory::delete_old_records() {
   state_store_.list(codec::history_prefix(), [this](auto rows) {
-    if (!rows || rows->size() <= k::kHistoryKept) return;
+    if (!rows || rows->size() <= k::kMaxHistoryRecords) return;
     CompareAndSwap commit;
     commit.nonce = state_store_.nonce();
     commit.request_priority = RequestPriority::fleet;
     const std::size_t count =
-        std::min(rows->size() - k::kHistoryKept, static_cast<std::size_t>(settings_.batch()));
+        std::min(rows->size() - k::kMaxHistoryRecords, static_cast<std::size_t>(settings_.batch()));
     for (std::size_t i = 0; i < count; ++i) {
       const codec::StateRow& row = (*rows)[i];
       commit.preconditions.push_back({row.key, row.revision});
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -208,10 +208,10 @@
   EXPECT_EQ(status.partition_loads[0].second.waiting_cpus, 3.5);
   EXPECT_EQ(status.partition_loads[0].second.waited_s, 7);
   peer_rpc::PeerStatus now = status;
-  now.features = constants::kFeatures;
+  now.features = constants::kBuildFeatureBits;
   const auto again = peer_rpc::decode(peer_rpc::encode({"n0", now}));
   ASSERT_TRUE(again);
-  EXPECT_EQ(std::get<peer_rpc::PeerStatus>(again->body).features, constants::kFeatures);
+  EXPECT_EQ(std::get<peer_rpc::PeerStatus>(again->body).features, constants::kBuildFeatureBits);
 }
 
 }  // namespace
--- a/tests/http_api_test.cc
+++ b/tests/http_api_test.cc
@@ -47,7 +47,7 @@
   EXPECT_EQ(status, 404);
   ask("GET", "/v2");
   EXPECT_EQ(status, 404);
-  ask("POST", "/v1/jobs", std::string(constants::kBodyMax + 1, 'x'));
+  ask("POST", "/v1/jobs", std::string(constants::kMaxBodyBytes + 1, 'x'));
   EXPECT_EQ(status, 413);
   ask("DELETE", "/v1/jobs");
   EXPECT_EQ(status, 405);
--- a/tests/scheduler/heartbeats_test.cc
+++ b/tests/scheduler/heartbeats_test.cc
@@ -176,7 +176,7 @@
   partition.on_heartbeat(heartbeat("m-2"), 100);
   auto starts = partition.place_tasks("m-2", 100);
   ASSERT_EQ(starts.size(), 1u);
-  EXPECT_EQ(starts[0].attempt >> constants::kAttemptBits, 15u);
+  EXPECT_EQ(starts[0].attempt >> constants::kAttemptCounterBits, 15u);
 }
 
 // A worker above our fencing token has another leader.
@@ -241,7 +241,7 @@
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {}, 0, 2), 14000).verdict,
             HeartbeatVerdict::ok);
   EXPECT_TRUE(partition.place_tasks("m-1", 14000).empty());
-  const Ms later = 4000 + constants::kQuarantineMs;
+  const Ms later = 4000 + constants::kInitialQuarantineMs;
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {}, 0, 2), later).verdict,
             HeartbeatVerdict::ok);
   EXPECT_EQ(partition.place_tasks("m-1", later).size(), 1u);
--- a/tests/scheduler/placement_test.cc
+++ b/tests/scheduler/placement_test.cc
@@ -71,7 +71,7 @@
   partition.on_heartbeat(heartbeat("m-1"), 100);
   partition.cordon(8, false, 100);
   EXPECT_TRUE(partition.place_tasks("m-1", 100).empty());
-  EXPECT_EQ(partition.place_tasks("m-1", 100 + constants::kCordonMs).size(), 1u);
+  EXPECT_EQ(partition.place_tasks("m-1", 100 + constants::kCordonTtlMs).size(), 1u);
 }
 
 // A production service stops lower work here and starts in its room, in one answer.
@@ -124,7 +124,7 @@
   JobSpec large = job("run-1", 40);
   large.estimate_s = 1000;
   large.deadline_s = 5000;
-  partition.open_job(large, 11, false, {}, constants::kStarvedMs + 1000);
+  partition.open_job(large, 11, false, {}, constants::kStarvationAgeMs + 1000);
   JobSpec tight = job("run-2", 40);
   tight.estimate_s = 5;
   tight.deadline_s = 10;
--- a/tests/scheduler/scale_test.cc
+++ b/tests/scheduler/scale_test.cc
@@ -12,21 +12,21 @@
 TEST_F(PartitionSchedulerScale, LargestJobIsQueuedRecordedAndCompleted) {
   partition.add_machine("m-1", 12, true, 0);
   std::vector<std::uint32_t> done;
-  for (std::uint32_t i = 0; i < constants::kTasksMax - 1; ++i) done.push_back(i);
-  partition.open_job(job("run-1", constants::kTasksMax), 11, false, done);
+  for (std::uint32_t i = 0; i < constants::kMaxJobTasks - 1; ++i) done.push_back(i);
+  partition.open_job(job("run-1", constants::kMaxJobTasks), 11, false, done);
   partition.on_heartbeat(heartbeat("m-1"), 100);
   auto starts = partition.place_tasks("m-1", 100);
   ASSERT_EQ(starts.size(), 1u);
-  EXPECT_EQ(starts[0].index, constants::kTasksMax - 1);
+  EXPECT_EQ(starts[0].index, constants::kMaxJobTasks - 1);
   partition.on_heartbeat(heartbeat("m-1", {task("run-1", starts[0].index, starts[0].attempt,
                                                 TaskPhase::exited, ExitReason::done)}),
                          200);
   EXPECT_TRUE(partition.is_complete("run-1"));
   std::size_t recorded = 0;
-  for (std::uint32_t first = 0; first < constants::kTasksMax;
+  for (std::uint32_t first = 0; first < constants::kMaxJobTasks;
        first += constants::kProgressChunkTasks)
     recorded += partition.done_tasks("run-1", first, constants::kProgressChunkTasks).size();
-  EXPECT_EQ(recorded, constants::kTasksMax);
+  EXPECT_EQ(recorded, constants::kMaxJobTasks);
 }
 
 // The work for one heartbeat must not grow with the machines of the partition.
@@ -69,7 +69,7 @@
 // An image for every job: what is known of images stays bounded, and jobs go on starting.
 TEST_F(PartitionSchedulerScale, KnownImagesStayBounded) {
   partition.add_machine("m-1", 12, true, 0);
-  for (std::uint64_t n = 0; n < 3 * constants::kImagesKnown; ++n) {
+  for (std::uint64_t n = 0; n < 3 * constants::kMaxRetainedImages; ++n) {
     JobSpec spec = job("run-" + std::to_string(n), 1);
     spec.image = "image-" + std::to_string(n);
     partition.open_job(spec, 20 + n, false, {});
@@ -79,12 +79,12 @@
     ASSERT_EQ(partition.place_tasks("m-1", now).size(), 1u) << n;
     partition.heartbeat_answered("m-1", now);
     partition.on_heartbeat(
-        heartbeat("m-1", {task(spec.id, 0, (12 << constants::kAttemptBits) + n + 1,
+        heartbeat("m-1", {task(spec.id, 0, (12 << constants::kAttemptCounterBits) + n + 1,
                                TaskPhase::exited, ExitReason::done)}),
         now);
     partition.close_job(spec.id);
   }
-  EXPECT_LE(partition.images_known(), constants::kImagesKnown + 1);
+  EXPECT_LE(partition.images_known(), constants::kMaxRetainedImages + 1);
 }
 
 }  // namespace
--- a/tests/state_store_modules_test.cc
+++ b/tests/state_store_modules_test.cc
@@ -91,7 +91,7 @@
 
 TEST_F(RequestQueueTest, RefusesARequestThatHasWaitedForItsTimeout) {
   while (queue_.size() == 0) submit("/more", RequestPriority::fleet);
-  runtime_.time = constants::kStateTimeoutMs;
+  runtime_.time = constants::kStateStoreTimeoutMs;
   queue_.send_allowed();
   EXPECT_EQ(queue_.size(), 0u);
   EXPECT_EQ(queue_.counters().refused_here, 1u);
@@ -105,7 +105,7 @@
   submit("/user", RequestPriority::user);
   runtime_.sent.at(0).done({http_status::kTooManyRequests, ""});
   ASSERT_EQ(runtime_.timers.size(), 1u);
-  EXPECT_EQ(runtime_.timers[0].delay, constants::kOverLimitMs);
+  EXPECT_EQ(runtime_.timers[0].delay, constants::kThrottledRetryDelayMs);
   EXPECT_EQ(queue_.last_good(), 0);
   runtime_.time = 100;
   runtime_.timers[0].call();
@@ -179,10 +179,10 @@
   EXPECT_EQ(finished.since(100)->size(), 2u);
   ASSERT_EQ(finished.since(101)->size(), 1u);
   EXPECT_EQ(finished.since(101)->front().id, "b");
-  for (std::size_t i = 0; i < constants::kFinishedKept; ++i)
+  for (std::size_t i = 0; i < constants::kMaxRecentFinishedJobs; ++i)
     finished.add({"c", JobPhase::done, 200 + i});
   EXPECT_FALSE(finished.since(102)) << "the oldest ones were dropped";
-  EXPECT_EQ(finished.since(103)->size(), constants::kFinishedKept);
+  EXPECT_EQ(finished.since(103)->size(), constants::kMaxRecentFinishedJobs);
 }
 
 }  // namespace
--- a/tests/stored_state_test.cc
+++ b/tests/stored_state_test.cc
@@ -139,7 +139,7 @@
 
 void expect_all_progress(StoredValueReader& stored) {
   const codec::TaskRange chunk{0, constants::kProgressChunkTasks}, first{0, kFirstOfSecond},
-      second{kFirstOfSecond, kFirstOfSecond}, whole{0, constants::kTasksMax, true};
+      second{kFirstOfSecond, kFirstOfSecond}, whole{0, constants::kMaxJobTasks, true};
   auto expect = [&](int partition, const std::string& job, const codec::TaskRange& range,
                     auto text) {
     expect_progress(stored, partition, job, range, text, done_tasks(job));
--- a/tests/upgrade/conversion_test.cc
+++ b/tests/upgrade/conversion_test.cc
@@ -83,7 +83,7 @@
   for (std::size_t size = 0; size < text.size(); size += 97) {
     const auto read_back = codec::unpack_roaring(text.substr(0, size), 0);
     refused += !read_back;
-    EXPECT_LE(read_back.value_or(std::vector<std::uint32_t>{}).size(), constants::kTasksMax);
+    EXPECT_LE(read_back.value_or(std::vector<std::uint32_t>{}).size(), constants::kMaxJobTasks);
   }
   EXPECT_GT(refused, 10u);
 }
