--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -1,5 +1,5 @@
-// The cloud client: typed calls to the cloud's HTTP interface, within its rate limit. Paths,
-// bodies and status codes of that interface are known here and in codec/cloud_json.h alone.
+// The cloud client: typed calls to the cloud's HTTP interface, within its rate limit. Only this
+// file and codec/cloud_json.h depend on the paths, bodies and status codes of that interface.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,13 +14,13 @@
 
 namespace eiderreel {
 
-/// Why a call to the cloud gave no result.
+/// Why a request to the cloud failed.
 enum class CloudError : std::uint8_t {
-  no_answer,   ///< it may have been carried out, or still may be
-  over_limit,  ///< the rate limit, here or in the cloud; nothing was done
-  rejected,    ///< malformed, no capacity or an outage; nothing was done
-  failed,      ///< any other status; whether it was carried out is not known
-  unreadable,  ///< the reply has not the form that the protocol says
+  no_reply,           ///< no reply; the request may have been carried out, or still may be
+  rate_limited,       ///< rejected by the rate limit of this client or of the cloud; no effect
+  rejected,           ///< malformed request, no capacity or an outage; no effect
+  unexpected_status,  ///< any other status; whether the request was carried out is unknown
+  malformed_reply,    ///< the body of the reply does not conform to the protocol
 };
 
 template <class T>
@@ -28,8 +28,8 @@
 template <class T>
 using CloudCallback = std::function<void(CloudResult<T>)>;
 
-/// Machines to be provisioned. The cloud carries out a request of the same name once at most, so a
-/// name must never be used for another request, by any controller.
+/// Machines to be provisioned. `name` is the idempotency key of the request: the cloud carries out
+/// each name at most once, so no controller may reuse a name for another request.
 struct ProvisionRequest {
   std::string name;
   std::string type;
@@ -38,40 +38,42 @@
   int count = 0;
 };
 
-/// Calls to the cloud. Every callback is called once, later. Nothing is retried here.
+/// Sends requests to the cloud. Every callback is called exactly once, after the method has
+/// returned. The client does not retry.
 class CloudClient {
  public:
   CloudClient(Runtime& runtime, const Settings& settings)
       : runtime_(runtime), settings_(settings) {}
-  /// To be called once, before the first call.
+  /// Must be called once, before the first request.
   void start();
 
-  /// The machine types with their current prices.
+  /// Reads the machine types with their current prices.
   void get_catalog(CloudCallback<std::vector<MachineType>> done);
-  /// One page of the machines, in the order of their names, after `since`; empty: from the first.
+  /// Reads one page of the machines, sorted by name, starting after the name `since`; if that is
+  /// empty, starting with the first machine.
   void list_machines(const std::string& since, CloudCallback<codec::MachineList> done);
-  /// The names of the machines that were provisioned, which may be fewer than asked for.
+  /// Provisions machines. The result has their names, which may be fewer than requested, and is
+  /// empty if the names in a successful reply cannot be parsed.
   void provision(const ProvisionRequest& request, CloudCallback<std::vector<std::string>> done);
-  /// Deletes machines, constants::kMaxTerminateMachines at most. Once it succeeds they are surely
-  /// gone.
+  /// Deletes at most constants::kMaxTerminateMachines machines. On success they no longer run.
   void terminate(const std::vector<std::string>& machines, CloudCallback<void> done);
 
-  /// How often the cloud has answered with each HTTP status; 0: not at all.
-  const std::map<int, std::uint64_t>& replies() const { return replies_; }
+  /// Number of replies of the cloud by HTTP status. Key 0 counts the requests without a reply.
+  const std::map<int, std::uint64_t>& reply_counts() const { return reply_counts_; }
 
  private:
-  // The body of a successful reply.
+  // Receives the body of a successful reply.
   using BodyCallback = CloudCallback<std::string>;
 
-  bool take_token();
-  void call(const std::string& method, const std::string& path, const std::string& body,
-            BodyCallback done);
+  bool acquire_token();
+  void send_request(const std::string& method, const std::string& path, const std::string& body,
+                    BodyCallback done);
 
   Runtime& runtime_;
   const Settings& settings_;
   double tokens_ = 0;
   Ms refilled_at_ = 0;
-  std::map<int, std::uint64_t> replies_;
+  std::map<int, std::uint64_t> reply_counts_;
 };
 
 }  // namespace eiderreel
--- a/src/constants.h
+++ b/src/constants.h
@@ -25,7 +25,7 @@
 // --- Leases and partitions ------------------------------------------------------------------
 // Lease of a controller. The partitions of a failed leader become vacant after this time.
 constexpr Ms kLeaseTtlMs = 5000;
-// Allows four renewal attempts within one lease.
+// Interval of lease renewals; allows four attempts within one lease.
 constexpr Ms kLeaseRenewIntervalMs = 1000;
 // A leader stops acting this long before its lease expires.
 constexpr Ms kLeaseMarginMs = 300;
@@ -50,7 +50,7 @@
 // Time for which a peer that grants a vote does not claim the partitions. Short, because a
 // restarted process has to wait for it to expire.
 constexpr Ms kVoteTtlMs = 3000;
-// Allows several requests while one vote is valid.
+// Interval of vote requests; allows several while one vote is valid.
 constexpr Ms kVoteRequestIntervalMs = 500;
 // The state store counts as unavailable if it has not answered for this long.
 constexpr Ms kStateStoreSilenceMs = 1500;
@@ -159,7 +159,8 @@
 constexpr double kTransactionChangeShare = 0.4;
 // Delay before a request is retried that the state store rejected over its rate limit.
 constexpr Ms kThrottledRetryDelayMs = 100;
-// The state store usually answers within 10 ms, sometimes within a few hundred.
+// Timeout of a request to the state store, which usually answers within 10 ms, sometimes within a
+// few hundred.
 constexpr Ms kStateStoreTimeoutMs = 1500;
 // Duration of a long poll; short enough to detect a dead connection.
 constexpr Ms kWatchLongPollMs = 5000;
@@ -167,7 +168,7 @@
 constexpr Ms kWatchTimeoutMarginMs = 2500;
 // Pause between long polls, which batches changes so that a busy minute costs few requests.
 constexpr Ms kMinWatchPauseMs = 100;
-// Half of the largest page that the protocol allows.
+// Items of a page; half of the largest page that the protocol allows.
 constexpr int kListPageItems = 500;
 // Attempts of a commit before the outcome is reported as unknown.
 constexpr int kMaxCommitAttempts = 3;
@@ -212,7 +213,7 @@
 constexpr Ms kAutomaticStepIntervalMs = 10000;
 // Steps kept in the history; older ones are deleted.
 constexpr std::size_t kMaxHistoryRecords = 200;
-// Below the smallest limit of a value.
+// Largest record of a step in the history; below the smallest limit of a value.
 constexpr std::size_t kMaxHistoryRecordBytes = 900;
 // Time constant of the average rate of a conversion.
 constexpr Ms kConversionRateAveragingMs = 10000;
@@ -222,9 +223,9 @@
 constexpr double kConversionBurstS = 1;
 // Timeout of an upgrade command: three attempts of 1.5 s each, and a margin.
 constexpr Ms kUpgradeCallTimeoutMs = 6000;
-// Time for which the command line queries the outcome of a step that is unknown.
+// Time for which the command line queries the outcome of a step that got no reply.
 constexpr Ms kUpgradeResolveTimeoutMs = 10000;
-// Interval between these queries.
+// Interval between two queries of the outcome of a step.
 constexpr Ms kUpgradeResolveIntervalMs = 1000;
 
 // --- HTTP API -------------------------------------------------------------------------------
@@ -250,7 +251,7 @@
 constexpr Ms kStatusCommandTimeoutMs = 3000;
 
 // --- Latency histograms in /metrics ---------------------------------------------------------
-// Buckets of a histogram.
+// Buckets of each histogram.
 constexpr int kLatencyBuckets = 12;
 // Lower bound of the buckets: the resolution of a timer.
 constexpr double kMinLatencyMs = 1;
@@ -268,7 +269,7 @@
 constexpr Ms kPeerStatusIntervalMs = 500;
 // A peer whose last status is older counts as unreachable.
 constexpr Ms kPeerStatusTtlMs = 2500;
-// Largest frame.
+// Largest frame that is accepted from a peer.
 constexpr std::size_t kMaxPeerFrameBytes = 1 << 20;
 // A link with more unsent bytes is dropped.
 constexpr std::size_t kMaxPeerBacklogBytes = 1 << 20;
@@ -285,7 +286,7 @@
 // Capacity kept for services, as a multiple of what they use; the rest is room for further ones.
 constexpr double kServiceCapacityFactor = 1.5;
 // A partition gives machines away only if its waiting work is at most this share of the receiver's.
-constexpr double kMaxGiverWaitingShare = 0.25;
+constexpr double kMaxDonorWaitingShare = 0.25;
 // Share of a partition's free CPUs that is cordoned for another partition.
 constexpr double kCordonFreeShare = 0.75;
 // Machines are drained for work that has waited this long; well below the 90 s that a job may wait
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -34,7 +34,7 @@
 
 void Controller::start_fleet() {
   FleetManager::Hooks hooks;
-  hooks.types_known = [this](const std::vector<MachineType>& types) {
+  hooks.catalog_updated = [this](const std::vector<MachineType>& types) {
     partition_leader_.types_known(types);
     job_api_.types_known(types);
   };
--- a/src/controller/metrics.cc
+++ b/src/controller/metrics.cc
@@ -135,7 +135,7 @@
               "requests over this node's share of the state store's limits",
               state_store.refused_here);
   out.type("cloud_requests_total", "counter", "requests to the cloud by status, 0: no answer");
-  out.by_status("cloud_requests_total", controller.fleet().cloud().replies());
+  out.by_status("cloud_requests_total", controller.fleet().cloud().reply_counts());
 }
 
 void put_users(MetricsText& out, const JobApi::Counters& counters) {
--- a/src/fleet/autoscaler.h
+++ b/src/fleet/autoscaler.h
@@ -1,5 +1,5 @@
-// The autoscaler: provisions machines for work that waits, moves work to spot machines where cost
-// saving pays, and has machines released that stay idle.
+// The autoscaler: provisions machines for waiting work, moves work to spot machines if that saves
+// cost, and has machines released that stay idle.
 #pragma once
 #include <map>
 #include <vector>
@@ -13,7 +13,7 @@
 
 namespace eiderreel {
 
-/// Decides how many machines there are. To be used by the cluster leader alone.
+/// Decides how many machines the cluster has. Only the cluster leader may use it.
 class Autoscaler {
  public:
   Autoscaler(Runtime& runtime, const Settings& settings, const StateStoreClient& state_store,
@@ -28,14 +28,15 @@
         inventory_(inventory),
         provisioner_(provisioner),
         advisor_(advisor) {}
-  /// One decision. Does nothing while the load of any partition is not known.
+  /// Makes one scaling decision. Does nothing while the load of any partition is unknown.
   void scale_out_and_in();
-  /// Forgets since when capacity lacks: this controller has just become cluster leader.
-  void reset() { lacking_since_ = 0; }
+  /// Resets the duration of the current shortfall. Called when this controller becomes cluster
+  /// leader.
+  void reset() { shortfall_since_ = 0; }
 
  private:
   using Loads = std::map<int, PartitionLoad>;  // by partition
-  struct PendingCapacity {                     // of machines on their way
+  struct PendingCapacity {                     // of machines without a partition
     std::vector<MachineInventory::PendingMachine> machines;
     double cpus = 0;
     double spot_cpus = 0;
@@ -43,9 +44,9 @@
 
   PendingCapacity pending_capacity() const;
   void provision_for_unschedulable(const Loads& loads, PendingCapacity& pending);
-  double requested_cpus(const PartitionLoad& total, bool saves_cost) const;
-  bool lack_lasts(double lack);
-  void release_idle(const Loads& loads, double surplus, double most_spot);
+  double requested_cpus(const PartitionLoad& total, bool cost_saving) const;
+  bool shortfall_persists(double shortfall_cpus);
+  void release_idle(const Loads& loads, double surplus_cpus, double max_spot_cpus);
 
   Runtime& runtime_;
   const Settings& settings_;
@@ -55,7 +56,7 @@
   const MachineInventory& inventory_;
   MachineProvisioner& provisioner_;
   PartitionAdvisor& advisor_;
-  Ms lacking_since_ = 0;  // 0: nothing lacks
+  Ms shortfall_since_ = 0;  // 0: no shortfall
 };
 
 }  // namespace eiderreel
--- a/src/fleet/fair_share.cc
+++ b/src/fleet/fair_share.cc
@@ -1,4 +1,4 @@
-// The fair share of a partition in the machines.
+// Implements the fair share of a partition.
 #include "fleet/fair_share.h"
 
 #include <algorithm>
--- a/src/fleet/fair_share.h
+++ b/src/fleet/fair_share.h
@@ -1,10 +1,10 @@
-// The fair share of a partition in the machines.
+// The fair share of a partition: the part of the machines to which its teams are entitled.
 #pragma once
 #include "config/settings.h"
 
 namespace eiderreel {
 
-/// The sum of the fair shares of a partition's teams in CPUs, at least 1.
+/// Returns the sum of the fair shares of a partition's teams, in CPUs, but at least 1.
 double fair_share_cpus_of(const Settings& settings, int partition);
 
 }  // namespace eiderreel
--- a/src/fleet/fleet_manager.cc
+++ b/src/fleet/fleet_manager.cc
@@ -1,4 +1,4 @@
-// The fleet: wires its parts and paces them.
+// Implements the fleet manager: creates its components and runs them at their intervals.
 #include "fleet/fleet_manager.h"
 
 #include <utility>
@@ -27,10 +27,10 @@
 
 void FleetManager::start(Hooks hooks) {
   cloud_.start();
-  assigner_.start([this](const std::string& machine) { provisioner_.forget(machine); });
+  assigner_.start([this](const std::string& machine) { provisioner_.remove(machine); });
   terminator_.start(std::move(hooks.machines_terminated));
   advisor_.start(std::move(hooks.send));
-  catalog_.start(std::move(hooks.types_known));
+  catalog_.start(std::move(hooks.catalog_updated));
 }
 
 void FleetManager::tick() {
@@ -43,12 +43,12 @@
   const Ms now = runtime_.now();
   assigner_.assign_all();
   inventory_.tick();
-  if (now - balanced_at_ >= k::kRebalanceIntervalMs) {
-    balanced_at_ = now;
+  if (now - rebalanced_at_ >= k::kRebalanceIntervalMs) {
+    rebalanced_at_ = now;
     rebalancer_.rebalance();
     terminator_.terminate_released();
   }
-  // A new cluster leader first hears of machines and needs.
+  // A new cluster leader first collects the list of machines and the loads of the partitions.
   if (now - scaled_at_ >= k::kScalingIntervalMs &&
       now - cluster_leader_since_ >= k::kClusterLeaderWarmupMs) {
     scaled_at_ = now;
@@ -56,20 +56,20 @@
   }
 }
 
-// What an earlier term knew of machines may be out of date.
+// Discards the state of an earlier term as cluster leader, which may be stale.
 void FleetManager::become_cluster_leader() {
   was_cluster_leader_ = true;
   cluster_leader_since_ = runtime_.now();
   autoscaler_.reset();
-  provisioner_.forget_all();
+  provisioner_.clear();
   inventory_.clear();
 }
 
 void FleetManager::assign(const Heartbeat& heartbeat, Reply reply) {
-  // A late copy of a heartbeat is no reason to assign a machine that is gone.
+  // A delayed duplicate of a heartbeat must not assign a terminated machine to a partition.
   if (catalog_.empty() || terminator_.is_terminated(heartbeat.machine))
     return reply(http_status::kServiceUnavailable, "");
-  assigner_.add(heartbeat, std::move(reply));
+  assigner_.enqueue(heartbeat, std::move(reply));
 }
 
 }  // namespace eiderreel
--- a/src/fleet/fleet_manager.h
+++ b/src/fleet/fleet_manager.h
@@ -1,6 +1,6 @@
-// The fleet: machines of the cloud. Only the cluster leader acts, the leader of partition 0: it has
-// new machines assigned to partitions, advises moves of idle ones, scales out and in. Every node
-// reads the catalog.
+// The fleet manager: the machines that are rented from the cloud. Only the cluster leader, which is
+// the leader of partition 0, manages them: it assigns new machines to partitions, rebalances
+// machines between partitions, and scales out and in. Every controller reads the catalog.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -21,33 +21,34 @@
 
 namespace eiderreel {
 
-/// Owns the parts of the fleet management and says when each of them acts.
+/// Owns the components of fleet management and schedules their work.
 class FleetManager {
  public:
   struct Hooks {
-    /// The catalog has been read.
-    MachineCatalog::Updated types_known;
+    /// Called with the machine types whenever the catalog has been read.
+    MachineCatalog::Updated catalog_updated;
     /// Sends a message to a peer.
     PartitionAdvisor::Send send;
-    /// Tells of machines that the cloud has deleted, here and at the peers.
+    /// Reports machines that the cloud has deleted to this controller's partitions and to the
+    /// peers.
     MachineTerminator::Terminated machines_terminated;
   };
 
   FleetManager(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
                PartitionLeader& partition_leader);
-  /// Begins to read the catalog; to be called once.
+  /// Starts to read the catalog. Must be called once.
   void start(Hooks hooks);
-  /// Every constants::kTickMs.
+  /// Runs the components whose intervals have elapsed. Called every constants::kTickMs.
   void tick();
-  /// A machine without a partition has sent a heartbeat to us, the cluster leader. It is answered
-  /// once the machine is assigned, or with 503.
+  /// Handles the heartbeat of a machine without a partition; called on the cluster leader. The
+  /// reply is sent when the machine has been assigned, or is 503 if it is not assigned.
   void assign(const Heartbeat& heartbeat, Reply reply);
 
-  /// Machines that this process has provisioned.
+  /// Number of machines that this process has provisioned.
   std::uint64_t provisioned_count() const { return provisioner_.provisioned_count(); }
-  /// Machines that the cloud has deleted for this process.
+  /// Number of machines that the cloud has deleted at the request of this process.
   std::uint64_t terminated_count() const { return terminator_.terminated_count(); }
-  /// The client of the cloud, for its counters.
+  /// The cloud client, for its counters.
   const CloudClient& cloud() const { return cloud_; }
 
  private:
@@ -66,7 +67,7 @@
   Autoscaler autoscaler_;
   bool was_cluster_leader_ = false;
   Ms cluster_leader_since_ = 0;
-  Ms balanced_at_ = 0;
+  Ms rebalanced_at_ = 0;
   Ms scaled_at_ = 0;
 };
 
--- a/src/fleet/machine_assigner.h
+++ b/src/fleet/machine_assigner.h
@@ -1,5 +1,5 @@
-// The machine assigner: gives machines whose first heartbeat arrives to the partition with the
-// greatest need, by a durable commit before their first start.
+// The machine assigner: on the first heartbeat of a machine, assigns it to the partition with the
+// greatest need. The assignment is committed durably before any task starts on the machine.
 #pragma once
 #include <functional>
 #include <map>
@@ -13,10 +13,10 @@
 
 namespace eiderreel {
 
-/// Assigns new machines to partitions. To be used by the cluster leader alone.
+/// Assigns new machines to partitions. Only the cluster leader may use it.
 class MachineAssigner {
  public:
-  using Ended = std::function<void(const std::string& machine)>;
+  using AssignmentEnded = std::function<void(const std::string& machine)>;
 
   MachineAssigner(const Settings& settings, const MachineCatalog& catalog,
                   StateStoreClient& state_store, PartitionLeader& partition_leader)
@@ -24,13 +24,14 @@
         catalog_(catalog),
         state_store_(state_store),
         partition_leader_(partition_leader) {}
-  /// `ended` is called with each machine whose assignment has ended, whatever came of it.
-  void start(Ended ended) { ended_ = std::move(ended); }
+  /// `assignment_ended` is called for each machine when its assignment has succeeded or failed.
+  void start(AssignmentEnded assignment_ended) { assignment_ended_ = std::move(assignment_ended); }
 
-  /// A machine without a partition has sent a heartbeat. The newest heartbeat is kept, and answered
-  /// once the machine is assigned; 503 answers an earlier one, or where it cannot be assigned.
-  void add(const Heartbeat& heartbeat, Reply reply);
-  /// Assigns all machines that wait. Those that come up together share transactions.
+  /// Adds a machine without a partition, which has sent this heartbeat. The newest heartbeat of a
+  /// machine is kept until the machine is assigned, and is then answered like any other heartbeat.
+  /// An earlier heartbeat is answered with 503, and so is the newest if the assignment fails.
+  void enqueue(const Heartbeat& heartbeat, Reply reply);
+  /// Assigns all waiting machines, several in one transaction.
   void assign_all();
 
  private:
@@ -38,32 +39,32 @@
     Reply reply;
     Heartbeat heartbeat;
     codec::MachineRecord record;
-    bool sent = false;  // its commit is on its way
+    bool committing = false;  // its commit is in flight
   };
   struct Capacity {  // in CPUs
     double assigned = 0;
     double requested = 0;
   };
-  // What a partition has and asks for.
-  struct Share {
-    double weight = 0;  // its fair share in CPUs
+  // The machines that a partition has, and those that it needs.
+  struct PartitionShare {
+    double weight = 0;  // the partition's fair share in CPUs
     Capacity on_demand;
     Capacity all;
-    // What counts for a new machine of this kind.
-    const Capacity& of(bool spot) const { return spot ? all : on_demand; }
+    // The capacity by which a new machine of this kind is assigned.
+    const Capacity& capacity_for(bool spot) const { return spot ? all : on_demand; }
     void assign(double cpus, bool spot);
   };
 
-  std::vector<Share> shares() const;
-  static int choose_partition(std::vector<Share>& shares, double cpus, bool spot);
-  void send(const std::vector<std::string>& machines);
-  void end(const std::string& machine, CasOutcome outcome);
+  std::vector<PartitionShare> partition_shares() const;
+  static int choose_partition(std::vector<PartitionShare>& shares, double cpus, bool spot);
+  void commit_assignments(const std::vector<std::string>& machines);
+  void finish_assignment(const std::string& machine, CasOutcome outcome);
 
   const Settings& settings_;
   const MachineCatalog& catalog_;
   StateStoreClient& state_store_;
   PartitionLeader& partition_leader_;
-  Ended ended_;
+  AssignmentEnded assignment_ended_;
   std::map<std::string, PendingAssignment> pending_assignments_;  // by machine
 };
 
--- a/src/fleet/machine_catalog.cc
+++ b/src/fleet/machine_catalog.cc
@@ -1,4 +1,4 @@
-// The machine catalog: when it is read, and what is known from it.
+// Implements the machine catalog: reads it periodically and answers queries on its types.
 #include "fleet/machine_catalog.h"
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 }
 
 void MachineCatalog::tick() {
-  const Ms pause = types_.empty() ? k::kRetryDelayMs : k::kCatalogIntervalMs;
-  if (!reading_ && runtime_.now() - read_at_ >= pause) read();
+  const Ms interval = types_.empty() ? k::kRetryDelayMs : k::kCatalogIntervalMs;
+  if (!reading_ && runtime_.now() - read_at_ >= interval) read();
 }
 
 void MachineCatalog::read() {
--- a/src/fleet/machine_catalog.h
+++ b/src/fleet/machine_catalog.h
@@ -1,4 +1,4 @@
-// The machine catalog: the cloud's machine types with their prices, read by every controller.
+// The machine catalog: the cloud's machine types with their prices. Every controller reads it.
 #pragma once
 #include <functional>
 #include <string>
@@ -10,28 +10,29 @@
 
 namespace eiderreel {
 
-/// The machine types as last read from the cloud. It starts out empty.
+/// The machine types as last read from the cloud; empty until the first read succeeds.
 class MachineCatalog {
  public:
   using Updated = std::function<void(const std::vector<MachineType>&)>;
 
   MachineCatalog(Runtime& runtime, CloudClient& cloud) : runtime_(runtime), cloud_(cloud) {}
-  /// Reads the catalog. `updated` is called whenever it has been read.
+  /// Starts to read the catalog. `updated` is called after each successful read.
   void start(Updated updated);
-  /// Reads the catalog again when it is due; every constants::kTickMs.
+  /// Reads the catalog again if that is due. Called every constants::kTickMs.
   void tick();
 
-  /// Whether no machine type is known yet.
+  /// Whether the catalog has not been read yet.
   bool empty() const { return types_.empty(); }
   /// The machine types as last read.
   const std::vector<MachineType>& types() const { return types_; }
-  /// The type of that name; null: the catalog has none. Valid until the catalog is read again.
+  /// Returns the type of that name, or null if the catalog has none. The pointer is valid until the
+  /// catalog is read again.
   const MachineType* find(const std::string& name) const { return find_type(types_, name); }
   /// CPUs of the smallest type. The catalog must not be empty.
   double smallest_cpus() const;
-  /// CPUs of the largest type.
+  /// CPUs of the largest type; 0 if the catalog is empty.
   double largest_cpus() const;
-  /// The longest nominal boot time of all types, in seconds.
+  /// The longest nominal boot time of all types, in seconds; 0 if the catalog is empty.
   double longest_boot_s() const;
 
  private:
--- a/src/fleet/machine_inventory.cc
+++ b/src/fleet/machine_inventory.cc
@@ -1,5 +1,5 @@
-// The machine inventory: reads the cloud's list page by page and concludes which machines are gone
-// and which are to be given back.
+// Implements the machine inventory: reads the cloud's machine list page by page and determines
+// which machines no longer exist and which must be released.
 #include "fleet/machine_inventory.h"
 
 #include <string_view>
@@ -10,29 +10,29 @@
 
 namespace k = constants;
 
-// Phases in the cloud's list.
+// Phases of a machine in the cloud's list.
 constexpr std::string_view kStarting = "starting";
 constexpr std::string_view kFailed = "failed";
 
-// A list is up to twice as old as the settings say.
-constexpr double kLagMsPerSecond = 2000;
-// A machine that was provisioned and is not listed after so many lags is lost.
+// A list is up to twice as old as the setting `list_lag_s` says.
+constexpr double kMaxLagMsPerSecond = 2000;
+// A provisioned machine that is still not listed after this multiple of the maximum lag is lost.
 constexpr Ms kLostAfterLags = 4;
 
 }  // namespace
 
 void MachineInventory::tick() {
-  if (!listing_ && runtime_.now() - listed_at_ >= k::kMachineListIntervalMs) begin_list();
+  if (!listing_ && runtime_.now() - list_ended_at_ >= k::kMachineListIntervalMs) start_listing();
 }
 
-Ms MachineInventory::lag() const {
-  return static_cast<Ms>(settings_.list_lag_s * kLagMsPerSecond * (1 + k::kClockDriftShare));
+Ms MachineInventory::max_lag_ms() const {
+  return static_cast<Ms>(settings_.list_lag_s * kMaxLagMsPerSecond * (1 + k::kClockDriftShare));
 }
 
-void MachineInventory::begin_list() {
+void MachineInventory::start_listing() {
   listing_ = true;
-  in_list_.clear();
-  list_sent_ = runtime_.now();
+  current_list_.clear();
+  list_requested_at_ = runtime_.now();
   read_page("");
 }
 
@@ -44,44 +44,45 @@
 void MachineInventory::on_page(const std::string& since,
                                const CloudResult<codec::MachineList>& page) {
   if (!page) {
-    // A list of more pages than the rate limit allows at once began anew for ever, and was never
-    // read to its end. So it goes on where it was refused.
-    const bool over_limit = page.error() == CloudError::over_limit;
-    if (over_limit && !since.empty() && partition_leader_.is_cluster_leader()) {
+    // After a rejection by the rate limit, reading resumes at the rejected page. Restarting with
+    // the first page would never finish a list with more pages than the rate limit allows at once.
+    const bool rate_limited = page.error() == CloudError::rate_limited;
+    if (rate_limited && !since.empty() && partition_leader_.is_cluster_leader()) {
       runtime_.after(k::kRetryDelayMs, [this, since] { read_page(since); });
     } else {
-      end_list();
+      finish_listing();
     }
     return;
   }
   const Ms now = runtime_.now();
   for (const auto& machine : page->machines) {
-    in_list_.insert(machine.id);
+    current_list_.insert(machine.id);
     machines_[machine.id] = {machine, now};
   }
   if (page->more && !page->machines.empty()) return read_page(page->machines.back().id);
-  end_list();
-  on_list_complete();
+  finish_listing();
+  process_list();
 }
 
-void MachineInventory::end_list() {
+void MachineInventory::finish_listing() {
   listing_ = false;
-  listed_at_ = runtime_.now();
+  list_ended_at_ = runtime_.now();
 }
 
-void MachineInventory::on_list_complete() {
-  add_known_machines();
-  const std::vector<std::string> gone = remove_gone();
+void MachineInventory::process_list() {
+  add_recorded_machines();
+  const std::vector<std::string> terminated = remove_terminated();
   release_failed();
-  terminator_.forget(gone);
+  terminator_.delete_keys(terminated);
   std::set<std::string> listed;
   for (const auto& [id, entry] : machines_) listed.insert(id);
-  provisioner_.drop_lost(listed, kLostAfterLags * lag());
+  provisioner_.remove_assigned_and_lost(listed, kLostAfterLags * max_lag_ms());
 }
 
-// A key may stand for a machine that was gone before we led, and that a late copy of a
-// heartbeat brought back. It is known from now on, and forgotten when lists go on without it.
-void MachineInventory::add_known_machines() {
+// Adds the machines that have a key in the state store but are not listed. Such a key may belong to
+// a machine that was terminated before this controller became cluster leader, and that a delayed
+// duplicate of a heartbeat assigned again. The machine is removed when later lists lack it too.
+void MachineInventory::add_recorded_machines() {
   for (const auto& [id, machine] : state_store_.view().machines) {
     const auto [entry, is_new] = machines_.try_emplace(id);
     if (!is_new) continue;
@@ -91,26 +92,28 @@
   }
 }
 
-// Once listed a machine stays listed until it is gone. The newest list describes a moment not
-// earlier than the lag before it was asked for, so it is newer than the last that had the machine.
-std::vector<std::string> MachineInventory::remove_gone() {
-  std::vector<std::string> gone;
+// Removes the machines that no longer exist. Once listed, a machine stays listed until it is
+// terminated. A list is at most `max_lag_ms` old when it is requested, so a list without the
+// machine proves its termination if it must be newer than the last list that had the machine.
+std::vector<std::string> MachineInventory::remove_terminated() {
+  std::vector<std::string> terminated;
   for (const auto& [id, entry] : machines_)
-    if (!in_list_.contains(id) && list_sent_ - lag() > entry.last_seen) gone.push_back(id);
-  for (const auto& id : gone) {
-    provisioner_.forget(id);
+    if (!current_list_.contains(id) && list_requested_at_ - max_lag_ms() > entry.last_seen)
+      terminated.push_back(id);
+  for (const auto& id : terminated) {
+    provisioner_.remove(id);
     machines_.erase(id);
   }
-  return gone;
+  return terminated;
 }
 
-// Machines that failed, and machines without a partition that do not come up, are given back.
+// Releases machines that failed, and machines without a partition that are stuck while starting.
 void MachineInventory::release_failed() {
   const auto& keys = state_store_.view().machines;
   for (const auto& [id, entry] : machines_) {
     const codec::ListedMachine& listed = entry.listed;
     const bool failed = listed.phase == kFailed;
-    if (!in_list_.contains(id) || (!failed && !is_stuck(listed))) continue;
+    if (!current_list_.contains(id) || (!failed && !is_stuck(listed))) continue;
     const codec::MachineRecord record{kReleasedPartition, listed.type, listed.zone, listed.addr,
                                       listed.spot};
     const auto key = keys.find(id);
@@ -135,7 +138,8 @@
   };
   for (const auto& [id, machine] : provisioner_.provisioned())
     add(machine.type, machine.zone, machine.spot);
-  // When all controllers start at once, hundreds of machines may be up that no partition has yet.
+  // When all controllers restart at once, hundreds of running machines may not be assigned to a
+  // partition yet.
   for (const auto& [id, entry] : machines_) {
     if (entry.listed.phase == kFailed || provisioner_.provisioned().contains(id) ||
         state_store_.view().machines.contains(id))
--- a/src/fleet/machine_inventory.h
+++ b/src/fleet/machine_inventory.h
@@ -1,5 +1,6 @@
-// The machine inventory: the cloud's list of machines. It lags, so that it proves a machine gone
-// only some time after; it also shows machines that failed or never come up.
+// The machine inventory: the cloud's list of machines. The list lags behind, so it proves the
+// termination of a machine only after some time. It also shows machines that failed or that are
+// stuck while starting.
 #pragma once
 #include <cstddef>
 #include <map>
@@ -16,12 +17,12 @@
 
 namespace eiderreel {
 
-/// The machines that the cloud has. To be used by the cluster leader alone.
+/// The machines that exist in the cloud. Only the cluster leader may use it.
 class MachineInventory {
  public:
-  /// A machine that is provisioned and in no partition yet.
+  /// A machine that has been provisioned but not yet assigned to a partition.
   struct PendingMachine {
-    const MachineType* type = nullptr;  // of the catalog, until it is read again
+    const MachineType* type = nullptr;  // owned by the catalog, valid until it is read again
     std::string zone;
     bool spot = false;
   };
@@ -38,14 +39,14 @@
         catalog_(catalog),
         provisioner_(provisioner),
         terminator_(terminator) {}
-  /// Lists the machines when that is due; every constants::kTickMs.
+  /// Lists the machines if that is due. Called every constants::kTickMs.
   void tick();
-  /// Forgets all machines: this controller has just become cluster leader.
+  /// Removes all machines. Called when this controller becomes cluster leader.
   void clear() { machines_.clear(); }
 
-  /// Machines listed and not proven gone since.
+  /// Number of machines that were listed and have not been proven terminated since.
   std::size_t size() const { return machines_.size(); }
-  /// Machines that are provisioned or listed, and have no partition yet.
+  /// Machines that are provisioned or listed but not assigned to a partition yet.
   std::vector<PendingMachine> pending_machines() const;
 
  private:
@@ -54,14 +55,14 @@
     Ms last_seen = 0;
   };
 
-  Ms lag() const;
-  void begin_list();
+  Ms max_lag_ms() const;
+  void start_listing();
   void read_page(const std::string& since);
   void on_page(const std::string& since, const CloudResult<codec::MachineList>& page);
-  void end_list();
-  void on_list_complete();
-  void add_known_machines();
-  std::vector<std::string> remove_gone();
+  void finish_listing();
+  void process_list();
+  void add_recorded_machines();
+  std::vector<std::string> remove_terminated();
   void release_failed();
   bool is_stuck(const codec::ListedMachine& machine) const;
 
@@ -74,10 +75,10 @@
   MachineProvisioner& provisioner_;
   MachineTerminator& terminator_;
   std::map<std::string, Entry> machines_;  // by name
-  std::set<std::string> in_list_;          // what the list being read, or read last, has
+  std::set<std::string> current_list_;     // names in the list that is being read, or was read last
   bool listing_ = false;
-  Ms list_sent_ = 0;  // when the first page was asked for
-  Ms listed_at_ = 0;  // when the last list ended, read whole or not
+  Ms list_requested_at_ = 0;  // when the first page was requested
+  Ms list_ended_at_ = 0;      // when the last list ended, completely read or not
 };
 
 }  // namespace eiderreel
--- a/src/fleet/machine_provisioner.cc
+++ b/src/fleet/machine_provisioner.cc
@@ -1,4 +1,4 @@
-// Machine provisioning: the choice of machines, and the requests to the cloud.
+// Implements machine provisioning: chooses the machines and sends the requests to the cloud.
 #include "fleet/machine_provisioner.h"
 
 #include <spdlog/spdlog.h>
@@ -12,19 +12,19 @@
 
 namespace k = constants;
 
-// Machines in one request for so many CPUs: one at least, and what the cloud allows at most.
+// Rounds up to a number of machines for one request: at least 1, at most the limit of the cloud.
 int machine_count(double machines) {
   return std::clamp(static_cast<int>(std::ceil(machines)), 1, k::kMaxProvisionMachines);
 }
 
 }  // namespace
 
-void MachineProvisioner::drop_lost(const std::set<std::string>& listed, Ms patience) {
+void MachineProvisioner::remove_assigned_and_lost(const std::set<std::string>& listed, Ms timeout) {
   const auto& assigned = state_store_.view().machines;
   std::erase_if(provisioned_, [&](const auto& entry) {
     const auto& [id, provisioned] = entry;
     return assigned.contains(id) ||
-           (!listed.contains(id) && runtime_.now() - provisioned.at > patience);
+           (!listed.contains(id) && runtime_.now() - provisioned.provisioned_at > timeout);
   });
 }
 
@@ -36,18 +36,18 @@
     return a.price_per_cpu < b.price_per_cpu;
   });
   for (std::size_t i = 0; i < cheapest.size();) {
-    std::size_t end = i;  // offers of one type and kind, in all its zones
+    std::size_t end = i;  // one past the offers of the same type and kind, one for each zone
     while (end < cheapest.size() && cheapest[end].type == cheapest[i].type &&
            cheapest[end].pool.spot == cheapest[i].pool.spot)
       ++end;
-    double& wanted = cheapest[i].pool.spot ? spot_cpus : cpus;
+    double& remaining_cpus = cheapest[i].pool.spot ? spot_cpus : cpus;
     for (; i < end; ++i) {
-      if (wanted <= 0) continue;
+      if (remaining_cpus <= 0) continue;
       const Offer& offer = cheapest[i];
       const double type_cpus = offer.type->cpus;
-      const int count = machine_count(wanted / type_cpus / static_cast<double>(end - i));
+      const int count = machine_count(remaining_cpus / type_cpus / static_cast<double>(end - i));
       provision(offer.pool, count);
-      wanted -= count * type_cpus;
+      remaining_cpus -= count * type_cpus;
       if (offer.pool.spot) cpus -= count * type_cpus;
     }
   }
@@ -67,16 +67,16 @@
   return count * best->type->cpus;
 }
 
-// In the order of the catalog.
+// Returns the offers that match, in the order of the catalog.
 std::vector<MachineProvisioner::Offer> MachineProvisioner::offers(
-    const std::function<bool(const Offer&)>& wanted) const {
+    const std::function<bool(const Offer&)>& matches) const {
   std::vector<Offer> found;
   for (const auto& type : catalog_.types()) {
     for (const auto& zone : type.zones) {
       for (const bool spot : {true, false}) {
         Offer offer{
             &type, {type.name, zone, spot}, (spot ? type.spot_price : type.price) / type.cpus};
-        if (wanted(offer)) found.push_back(std::move(offer));
+        if (matches(offer)) found.push_back(std::move(offer));
       }
     }
   }
@@ -84,46 +84,49 @@
 }
 
 bool MachineProvisioner::can_provision(const Pool& pool) const {
-  if (provisioning_.contains(pool)) return false;
+  if (pending_pools_.contains(pool)) return false;
   const auto paused = paused_until_.find(pool);
   return paused == paused_until_.end() || paused->second <= runtime_.now();
 }
 
 void MachineProvisioner::provision(const Pool& pool, int count) {
-  // Invariant 10: the revision of our claim is never given twice, and the counter not within it.
+  // Invariant 10: request names are unique. No two claims of the partition have the same revision,
+  // and the counter is unique within one claim.
   const auto partition = state_store_.view().partitions.find(0);
   if (partition == state_store_.view().partitions.end() ||
       partition->second.leader != settings_.node)
     return;
-  provisioning_.insert(pool);
+  pending_pools_.insert(pool);
   const std::string name =
       "r-" + std::to_string(partition->second.revision) + "-" + std::to_string(++request_counter_);
-  send(pool, {name, pool.type, pool.zone, pool.spot, count}, k::kMaxCommitAttempts);
+  send_request(pool, {name, pool.type, pool.zone, pool.spot, count}, k::kMaxCommitAttempts);
 }
 
-void MachineProvisioner::send(const Pool& pool, const ProvisionRequest& request, int tries) {
+void MachineProvisioner::send_request(const Pool& pool, const ProvisionRequest& request,
+                                      int attempts_left) {
   cloud_.provision(request, [=, this](const CloudResult<std::vector<std::string>>& machines) {
-    on_reply(pool, request, tries, machines);
+    on_reply(pool, request, attempts_left, machines);
   });
 }
 
-void MachineProvisioner::on_reply(const Pool& pool, const ProvisionRequest& request, int tries,
+void MachineProvisioner::on_reply(const Pool& pool, const ProvisionRequest& request,
+                                  int attempts_left,
                                   const CloudResult<std::vector<std::string>>& machines) {
   if (machines) {
-    add(request, *machines);
+    record_provisioned(request, *machines);
     if (static_cast<int>(machines->size()) < request.count) pause(pool);
   } else if (machines.error() == CloudError::rejected) {
     pause(pool);
-  } else if (tries > 1) {
-    // Without an answer the same request is sent again: it provisions once at most.
-    runtime_.after(k::kRetryDelayMs, [=, this] { send(pool, request, tries - 1); });
+  } else if (attempts_left > 1) {
+    // The same request is retried under the same name, so the cloud carries it out at most once.
+    runtime_.after(k::kRetryDelayMs, [=, this] { send_request(pool, request, attempts_left - 1); });
     return;
   }
-  provisioning_.erase(pool);
+  pending_pools_.erase(pool);
 }
 
-void MachineProvisioner::add(const ProvisionRequest& request,
-                             const std::vector<std::string>& machines) {
+void MachineProvisioner::record_provisioned(const ProvisionRequest& request,
+                                            const std::vector<std::string>& machines) {
   for (const auto& id : machines)
     provisioned_[id] = {request.type, request.zone, request.spot, runtime_.now()};
   provisioned_count_ += machines.size();
--- a/src/fleet/machine_provisioner.h
+++ b/src/fleet/machine_provisioner.h
@@ -1,5 +1,5 @@
-// Machine provisioning: asks the cloud for machines, the cheapest that will do, and knows which of
-// them are still on their way.
+// Machine provisioning: requests the cheapest suitable machines from the cloud and tracks those
+// that are not assigned to a partition yet.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -16,15 +16,15 @@
 
 namespace eiderreel {
 
-/// Provisions machines. To be used by the cluster leader alone.
+/// Provisions machines. Only the cluster leader may use it.
 class MachineProvisioner {
  public:
-  /// A machine that we provisioned and that is not listed or not up yet.
+  /// A machine that this controller has provisioned and that is not assigned to a partition yet.
   struct ProvisionedMachine {
     std::string type;
     std::string zone;
     bool spot = false;
-    Ms at = 0;
+    Ms provisioned_at = 0;
   };
 
   MachineProvisioner(Runtime& runtime, const Settings& settings,
@@ -36,26 +36,29 @@
         cloud_(cloud),
         catalog_(catalog) {}
 
-  /// Provisions so many CPUs, the cheapest first and evenly over the zones; on spot machines at
-  /// most `spot_cpus`.
+  /// Provisions machines with `cpus` CPUs in total, the cheapest type first and evenly over its
+  /// zones. At most `spot_cpus` of them are on spot machines; these are provisioned even if `cpus`
+  /// is 0.
   void provision_cheapest(double cpus, double spot_cpus);
-  /// Provisions so many CPUs of the cheapest kind that may host this job. Returns the CPUs that
-  /// were asked for; 0: no kind that may host it can be had now.
+  /// Provisions machines with `cpus` CPUs in total, of the cheapest pool that may host the job.
+  /// Returns the CPUs that were requested, or 0 if no pool that may host the job is available now.
   double provision_for(const JobSpec& job, double cpus);
 
-  /// Machines on their way, by name.
+  /// Machines that are not assigned to a partition yet, by name.
   const std::map<std::string, ProvisionedMachine>& provisioned() const { return provisioned_; }
-  /// Machines that this process has provisioned.
+  /// Number of machines that this process has provisioned.
   std::uint64_t provisioned_count() const { return provisioned_count_; }
-  /// The machine is up, or gone.
-  void forget(const std::string& machine) { provisioned_.erase(machine); }
-  /// Forgets all machines that are on their way.
-  void forget_all() { provisioned_.clear(); }
-  /// Forgets the machines that are up, and those that the cloud has not listed for `patience` ms.
-  void drop_lost(const std::set<std::string>& listed, Ms patience);
+  /// Stops tracking a machine that has been assigned or terminated.
+  void remove(const std::string& machine) { provisioned_.erase(machine); }
+  /// Stops tracking all machines.
+  void clear() { provisioned_.clear(); }
+  /// Stops tracking the machines that are assigned to a partition, and those that are still not in
+  /// the cloud's list `timeout` ms after they were provisioned.
+  void remove_assigned_and_lost(const std::set<std::string>& listed, Ms timeout);
 
  private:
-  // What the cloud runs out of: machines of one type, zone and kind.
+  // Machines of one type, zone and kind. The cloud may run out of capacity for each pool
+  // separately.
   struct Pool {
     std::string type;
     std::string zone;
@@ -67,16 +70,17 @@
   struct Offer {
     const MachineType* type = nullptr;
     Pool pool;
-    double price_per_cpu = 0;  // an hour
+    double price_per_cpu = 0;  // per hour
   };
 
-  std::vector<Offer> offers(const std::function<bool(const Offer&)>& wanted) const;
+  std::vector<Offer> offers(const std::function<bool(const Offer&)>& matches) const;
   bool can_provision(const Pool& pool) const;
   void provision(const Pool& pool, int count);
-  void send(const Pool& pool, const ProvisionRequest& request, int tries);
-  void on_reply(const Pool& pool, const ProvisionRequest& request, int tries,
+  void send_request(const Pool& pool, const ProvisionRequest& request, int attempts_left);
+  void on_reply(const Pool& pool, const ProvisionRequest& request, int attempts_left,
                 const CloudResult<std::vector<std::string>>& machines);
-  void add(const ProvisionRequest& request, const std::vector<std::string>& machines);
+  void record_provisioned(const ProvisionRequest& request,
+                          const std::vector<std::string>& machines);
   void pause(const Pool& pool);
 
   Runtime& runtime_;
@@ -86,7 +90,7 @@
   const MachineCatalog& catalog_;
   std::map<std::string, ProvisionedMachine> provisioned_;
   std::map<Pool, Ms> paused_until_;  // pools without capacity
-  std::set<Pool> provisioning_;      // pools with a request on its way
+  std::set<Pool> pending_pools_;     // pools with a request in flight
   std::uint64_t request_counter_ = 0;
   std::uint64_t provisioned_count_ = 0;
 };
--- a/src/fleet/partition_advisor.cc
+++ b/src/fleet/partition_advisor.cc
@@ -1,4 +1,5 @@
-// The partition advisor: advice for partitions led here is carried out at once, all other is sent.
+// Implements the partition advisor: requests for partitions that this controller leads are carried
+// out directly, all others are sent to the leader of the partition.
 #include "fleet/partition_advisor.h"
 
 namespace eiderreel {
--- a/src/fleet/partition_advisor.h
+++ b/src/fleet/partition_advisor.h
@@ -1,4 +1,4 @@
-// The partition advisor: brings the cluster leader's advice to the leader of a partition, which
+// The partition advisor: passes the cluster leader's requests to the leader of a partition, which
 // chooses the machines.
 #pragma once
 #include <functional>
@@ -9,8 +9,8 @@
 
 namespace eiderreel {
 
-/// Sends advice on machines to partition leaders. Advice may be lost; it is given again while it
-/// holds.
+/// Sends transfer and cordon requests to partition leaders. A request may be lost; the cluster
+/// leader repeats it while the reason for it persists.
 class PartitionAdvisor {
  public:
   using Send = std::function<void(const std::string& node, const peer_rpc::Body&)>;
@@ -18,16 +18,16 @@
   PartitionAdvisor(const Settings& settings, const StateStoreClient& state_store,
                    PartitionLeader& partition_leader)
       : settings_(settings), state_store_(state_store), partition_leader_(partition_leader) {}
-  /// `send` brings a message to a peer.
+  /// `send` sends a message to a peer.
   void start(Send send) { send_ = std::move(send); }
 
-  /// Idle machines are to move to another partition, or to be released.
+  /// Requests that idle machines be moved to another partition or released.
   void transfer(const peer_rpc::TransferRequest& request);
-  /// Machines are to run empty.
+  /// Requests that machines be cordoned.
   void cordon(const peer_rpc::CordonRequest& request);
 
  private:
-  // Null: the partition is vacant.
+  // Returns null if the partition is vacant.
   const std::string* leader_of(int partition) const;
 
   const Settings& settings_;
--- a/src/fleet/rebalancer.h
+++ b/src/fleet/rebalancer.h
@@ -1,5 +1,5 @@
-// The rebalancer: advises moves of machines between partitions, so that no work waits in one beside
-// free room in another.
+// The rebalancer: requests moves of machines between partitions, so that no work waits in one
+// partition while another has free room.
 #pragma once
 #include <map>
 
@@ -9,7 +9,7 @@
 
 namespace eiderreel {
 
-/// Moves machines to the partitions in need. To be used by the cluster leader alone.
+/// Moves machines to the partitions that need them. Only the cluster leader may use it.
 class Rebalancer {
  public:
   Rebalancer(const Settings& settings, const MachineCatalog& catalog,
@@ -18,7 +18,8 @@
         catalog_(catalog),
         partition_leader_(partition_leader),
         advisor_(advisor) {}
-  /// One round of advice, from the newest loads of the partitions. The catalog must not be empty.
+  /// Sends the requests that follow from the latest loads of the partitions. The catalog must not
+  /// be empty.
   void rebalance();
 
  private:
