--- a/src/scheduler/capacity_totals.cc
+++ b/src/scheduler/capacity_totals.cc
@@ -48,7 +48,8 @@
   const double cpus =
       std::max(0.0, machine.type->cpus - machine.used.cpus - machine.service_headroom_cpus());
   if (smallest_array_task_cpus_ <= 0) return cpus;
-  return std::floor(cpus / smallest_array_task_cpus_ + kRoundingTolerance) * smallest_array_task_cpus_;
+  return std::floor(cpus / smallest_array_task_cpus_ + kRoundingTolerance) *
+         smallest_array_task_cpus_;
 }
 
 double CapacityTotals::free_cpus_for(const ScheduledJob& job) const {
@@ -77,11 +78,11 @@
 }
 
 bool CapacityTotals::cost_saving_pays() const {
-  return jobs_.slack_s() >= constants::kCostSavingBoots * machines_.longest_boot_s();
+  return jobs_.slack_s() >= constants::kCostSavingBootFactor * machines_.longest_boot_s();
 }
 
 Ms CapacityTotals::min_idle_ms() const {
-  return cost_saving_pays() ? constants::kIdleReturnMs : constants::kIdleKeepMs;
+  return cost_saving_pays() ? constants::kIdleReleaseMs : constants::kShortSlackIdleReleaseMs;
 }
 
 }  // namespace eiderreel
--- a/src/scheduler/consolidation.cc
+++ b/src/scheduler/consolidation.cc
@@ -14,15 +14,15 @@
 
 void Consolidation::update(Ms now) {
   const double needed_cpus = jobs_.waiting_cpus(now);
-  const double surplus_cpus = totals_.unconsolidated_free_cpus() -
-                              totals_.largest_machine_cpus() / 2 -
-                              constants::kConsolidateSpareRoom * totals_.total_cpus() - needed_cpus;
+  const double surplus_cpus =
+      totals_.unconsolidated_free_cpus() - totals_.largest_machine_cpus() / 2 -
+      constants::kConsolidationSpareShare * totals_.total_cpus() - needed_cpus;
   if (surplus_cpus <= 0) surplus_since_ = now;
   if (needed_cpus > totals_.unconsolidated_free_cpus()) {
     resume_machines(needed_cpus - totals_.unconsolidated_free_cpus(), now);
-  } else if (surplus_cpus > 0 && now - surplus_since_ >= constants::kConsolidateAfterMs) {
+  } else if (surplus_cpus > 0 && now - surplus_since_ >= constants::kConsolidationDelayMs) {
     consolidate_machines(surplus_cpus, now);
-    surplus_since_ = now - constants::kConsolidateAfterMs + constants::kConsolidateNextMs;
+    surplus_since_ = now - constants::kConsolidationDelayMs + constants::kConsolidationIntervalMs;
   }
 }
 
@@ -57,8 +57,9 @@
   const bool spot_last = totals_.cost_saving_pays();
   for (const auto& [id, machine] : machines_)
     if (machine->accepts_tasks(now) && machine->consolidating == consolidating)
-      keyed.emplace_back(Key{spot_last && machine->spot, machine->empty_at(), machine->used.cpus, id},
-                         machine.get());
+      keyed.emplace_back(
+          Key{spot_last && machine->spot, machine->empty_at(), machine->used.cpus, id},
+          machine.get());
   std::sort(keyed.begin(), keyed.end());
   std::vector<ScheduledMachine*> machines;
   machines.reserve(keyed.size());
--- a/src/scheduler/delay_scheduling.cc
+++ b/src/scheduler/delay_scheduling.cc
@@ -20,13 +20,14 @@
     return waited_ms < std::min(machine.fetch_ms(job), policy_.heartbeat_round_ms()) &&
            totals_.has_room_with_image(job);
   const bool has_image = machine.images.contains(job.image);
-  if (waited_ms >= (has_image ? constants::kServicePackMs : constants::kImageWaitMs)) return false;
+  if (waited_ms >= (has_image ? constants::kServicePackWaitMs : constants::kServiceImageWaitMs))
+    return false;
   const ImageSurvey& survey = survey_image(job, now);
   if (!has_image) return survey.any_with_room;
   // Waiting pays only if enough machines run services that one of them is likely to send its
   // heartbeat during the wait.
-  return survey.service_machines >= constants::kServiceMachines &&
-         machine.service_cpus < survey.max_service_cpus * constants::kServicesAlike;
+  return survey.service_machines >= constants::kMinServiceMachines &&
+         machine.service_cpus < survey.max_service_cpus * constants::kFullestServiceShare;
 }
 
 // Examines all machines of the partition, so the result is reused: each waiting service is surveyed
@@ -52,7 +53,7 @@
 
 // The time that an array waits for fuller machines; at most one round of heartbeats.
 Ms DelayScheduling::packing_wait_ms() const {
-  return std::min(constants::kPackWaitMs, policy_.heartbeat_round_ms());
+  return std::min(constants::kArrayPackWaitMs, policy_.heartbeat_round_ms());
 }
 
 // An array waits for one more round of heartbeats than for fuller machines, so that all other
@@ -61,7 +62,7 @@
 bool DelayScheduling::avoids_consolidating_machine(const ScheduledMachine& machine,
                                                    const ScheduledJob& job, Ms now) const {
   if (!machine.consolidating) return false;
-  const Ms max_wait_ms = job.is_service() ? constants::kServicePackMs
+  const Ms max_wait_ms = job.is_service() ? constants::kServicePackWaitMs
                                           : packing_wait_ms() + policy_.heartbeat_round_ms();
   return now - job.waiting_since < max_wait_ms;
 }
--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -92,7 +92,7 @@
   if (!machine.lease_expired && now - machine.last_ok_reply_at < policy_.lease_ms)
     record_lost_reply(machine, now);
   if (machine.lease_expired && has_inbound_loss(machine))
-    machine.lost_replies = constants::kInboundLossAnswers - 1;
+    machine.lost_replies = constants::kInboundLossReplies - 1;
   machine.token_announcements = 0;
 }
 
@@ -123,8 +123,8 @@
   if (machine.token_announcements++ == 0) machine.first_announced_at = now;
   // The token was announced twice (`kTokenAnnouncements`), and the heartbeats still lack it:
   // replies do not reach the worker.
-  if (machine.token_announcements > constants::kTokenAnnouncements &&
-      now - machine.first_announced_at > constants::kWorkerPatienceMs)
+  if (machine.token_announcements > constants::kMaxTokenAnnouncements &&
+      now - machine.first_announced_at > constants::kWorkerReplyTimeoutMs)
     return stale_reply(fencing_token);
   // Invariant 7: this reply renews the lease like any other, so it has to carry the kills. Without
   // them, tasks of a job whose cancellation had been confirmed to its user outlived `cancel_s`:
@@ -189,7 +189,7 @@
     ScheduledJob* const job = bound->job;
     if (job && status.exit_reason == ExitReason::error) record_failure(machine, *job, now);
     if (job && status.exit_reason == ExitReason::no_such)
-      job->not_before = now + constants::kJobBackoffMs;
+      job->not_before = now + constants::kInitialJobBackoffMs;
     bindings_.release(machine, key, Requeue::yes, now);
   }
   commands.push_back(clear_command(key, status.attempt));
--- a/src/scheduler/job_queue.cc
+++ b/src/scheduler/job_queue.cc
@@ -48,7 +48,8 @@
     const double remaining_s =
         *spec.deadline_s - static_cast<double>(job.ready_at - job.submitted_at) / 1000;
     const double slack = std::max(0.0, remaining_s - spec.estimate_s);
-    slack_s_ = slack_s_ == 0 ? slack : slack_s_ + (slack - slack_s_) * constants::kSlackWeight;
+    slack_s_ =
+        slack_s_ == 0 ? slack : slack_s_ + (slack - slack_s_) * constants::kSlackAverageWeight;
   }
   const auto objective = policy_.start_objectives_s.find(spec.jobclass);
   if (objective == policy_.start_objectives_s.end() || objective->second <= 0) return;
@@ -87,7 +88,7 @@
 }
 
 void JobQueue::sort_if_due(Ms now) {
-  if (now - sorted_at_ >= constants::kReorderMs) sort(now);
+  if (now - sorted_at_ >= constants::kQueueSortIntervalMs) sort(now);
 }
 
 const std::vector<ScheduledJob*>& JobQueue::waiting_jobs() {
@@ -112,7 +113,7 @@
   bool fetch_needed = false;
   for (ScheduledJob* job : waiting_jobs()) {
     ++steps_;
-    ranked.emplace_back(job, machine.fetch_ms(*job) * constants::kFetchWeight);
+    ranked.emplace_back(job, machine.fetch_ms(*job) * constants::kFetchPenaltyFactor);
     fetch_needed |= ranked.back().second > 0;
   }
   if (fetch_needed)
--- a/src/scheduler/load_report.cc
+++ b/src/scheduler/load_report.cc
@@ -45,7 +45,7 @@
     if (job->spec.spot) load.waiting_spot_cpus += demand_cpus;
     if (job->is_service()) load.waiting_service_cpus += demand_cpus;
     load.waiting_core_s += job->queued_cpus() * job->spec.estimate_s;
-    if (load.unschedulable.size() >= constants::kUnschedulableMost) continue;
+    if (load.unschedulable.size() >= constants::kMaxUnschedulableJobs) continue;
     if (const double shortage_cpus = std::min(demand_cpus, unschedulable_cpus(*job, now));
         shortage_cpus > 0)
       load.unschedulable.emplace_back(job->spec.id, shortage_cpus);
--- a/src/scheduler/machine_health.cc
+++ b/src/scheduler/machine_health.cc
@@ -12,8 +12,8 @@
 
 void quarantine(ScheduledMachine& machine, Ms now) {
   machine.quarantine_ms = machine.quarantine_ms > 0
-                              ? std::min(machine.quarantine_ms * 2, constants::kQuarantineMaxMs)
-                              : constants::kQuarantineMs;
+                              ? std::min(machine.quarantine_ms * 2, constants::kMaxQuarantineMs)
+                              : constants::kInitialQuarantineMs;
   machine.quarantine_until = now + machine.quarantine_ms;
 }
 
@@ -25,17 +25,17 @@
 void record_failure(ScheduledMachine& machine, ScheduledJob& job, Ms now) {
   // The job avoids the machine for a limited time only: the machine may recover, and it may be the
   // only one with room.
-  job.avoided_machines[machine.id] = now + constants::kQuarantineMaxMs;
-  if (static_cast<int>(job.avoided_machines.size()) >= constants::kJobBadMachines &&
+  job.avoided_machines[machine.id] = now + constants::kMaxQuarantineMs;
+  if (static_cast<int>(job.avoided_machines.size()) >= constants::kJobFailureMachines &&
       job.done == 0) {
-    job.backoff_ms = job.backoff_ms > 0 ? std::min(job.backoff_ms * 2, constants::kJobBackoffMaxMs)
-                                        : constants::kJobBackoffMs;
+    job.backoff_ms = job.backoff_ms > 0 ? std::min(job.backoff_ms * 2, constants::kMaxJobBackoffMs)
+                                        : constants::kInitialJobBackoffMs;
     job.not_before = now + job.backoff_ms;
     return;
   }
-  if (++machine.consecutive_failures < constants::kUnhealthyErrors) return;
+  if (++machine.consecutive_failures < constants::kQuarantineFailures) return;
   // After the quarantine a single further failure starts the next one.
-  machine.consecutive_failures = constants::kUnhealthyErrors - 1;
+  machine.consecutive_failures = constants::kQuarantineFailures - 1;
   quarantine(machine, now);
 }
 
@@ -49,11 +49,11 @@
 // expire, and the machine would be given tasks again and again. A single lost reply may be chance:
 // after it the machine gets one task at a time until a heartbeat reports one.
 void record_lost_reply(ScheduledMachine& machine, Ms now) {
-  if (++machine.lost_replies >= constants::kInboundLossAnswers) quarantine(machine, now);
+  if (++machine.lost_replies >= constants::kInboundLossReplies) quarantine(machine, now);
 }
 
 bool has_inbound_loss(const ScheduledMachine& machine) {
-  return machine.lost_replies >= constants::kInboundLossAnswers;
+  return machine.lost_replies >= constants::kInboundLossReplies;
 }
 
 bool on_trial(const ScheduledMachine& machine) {
--- a/src/scheduler/partition_scheduler.cc
+++ b/src/scheduler/partition_scheduler.cc
@@ -121,7 +121,7 @@
   if (has_job(spec.id)) return;
   const std::optional<std::size_t> team = components_->teams.find(spec.team);
   if (!team) return;
-  if (components_->images.size() >= constants::kImagesKnown + components_->jobs.size())
+  if (components_->images.size() >= constants::kMaxRetainedImages + components_->jobs.size())
     reset_image_numbers();
   auto job = std::make_unique<ScheduledJob>();
   job->spec = spec;
@@ -290,9 +290,9 @@
 std::vector<std::string> PartitionScheduler::tick(Ms now) {
   components_->now = now;
   std::vector<std::string> expired;
-  const Ms lease_limit_ms =
-      static_cast<Ms>(static_cast<double>(components_->policy.lease_ms) * (1 + constants::kDrift)) +
-      constants::kProofMarginMs;
+  const Ms lease_limit_ms = static_cast<Ms>(static_cast<double>(components_->policy.lease_ms) *
+                                            (1 + constants::kClockDriftShare)) +
+                            constants::kWorkerLeaseMarginMs;
   for (const auto& [id, machine] : components_->machines) {
     if (machine->lease_expired || now - machine->last_ok_reply_at <= lease_limit_ms) continue;
     // Invariant 5: no reply can have renewed the lease in this time, so the worker's lease has
@@ -326,9 +326,9 @@
   // others it is no longer than a worker would wait between two heartbeats. A machine with services
   // has their images cached: with a deferred reply, the next service can be placed on it at once.
   const bool long_deferral = found->tasks.empty() || found->service_cpus > 0;
-  return long_deferral
-             ? std::min(constants::kDeferIdleMs, components_->policy.heartbeat_interval_ms * 4 / 5)
-             : constants::kDeferBusyMs;
+  return long_deferral ? std::min(constants::kMaxIdleDeferralMs,
+                                  components_->policy.heartbeat_interval_ms * 4 / 5)
+                       : constants::kMaxBusyDeferralMs;
 }
 
 bool PartitionScheduler::has_waiting_tasks() { return components_->jobs.has_waiting_tasks(); }
@@ -371,7 +371,8 @@
 }
 
 std::uint64_t PartitionScheduler::steps() const {
-return components_->jobs.steps() + components_->delays.machines_examined() + components_->preemption.jobs_examined();
+  return components_->jobs.steps() + components_->delays.machines_examined() +
+         components_->preemption.jobs_examined();
 }
 
 std::size_t PartitionScheduler::numbered_image_count() const { return components_->images.size(); }
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -41,14 +41,14 @@
   // by themselves before that; when they were preempted at once, most of the late arrays were late
   // because their last tasks had been stopped repeatedly.
   const Ms reclaim_after_ms =
-      std::max(constants::kReclaimSoonestMs, inputs_.policy.fair_share_start_ms -
-                                                 constants::kReclaimMarginMs -
-                                                 inputs_.policy.heartbeat_round_ms());
+      std::max(constants::kMinReclaimDelayMs, inputs_.policy.fair_share_start_ms -
+                                                  constants::kReclaimMarginMs -
+                                                  inputs_.policy.heartbeat_round_ms());
   for (ScheduledJob* job : jobs_.waiting_jobs()) {
     ++jobs_examined_;
     const Ms waited_ms = now - job->waiting_since;
     const bool by_priority =
-        job->priority > Priority::standard && waited_ms >= constants::kPreemptAfterMs;
+        job->priority > Priority::standard && waited_ms >= constants::kPreemptionDelayMs;
     // No preemption for tasks that fit into free room on machines whose next heartbeat is still to
     // come. Without this check, some jobs had every one of their tasks stopped without need.
     const bool by_fair_share = waited_ms >= reclaim_after_ms && within_fair_share(*job) &&
@@ -101,7 +101,8 @@
     if (covers(free, job.spec)) break;
     const BoundTask& task = candidate->second;
     if (reason == PreemptionReason::fair_share) {
-      if (!inputs_.teams.keeps_fair_share(*task.team, preempted_cpus, task.resources.cpus)) continue;
+      if (!inputs_.teams.keeps_fair_share(*task.team, preempted_cpus, task.resources.cpus))
+        continue;
       preempted_cpus += task.resources.cpus;
     }
     free += task.resources;
--- a/src/scheduler/reservation.cc
+++ b/src/scheduler/reservation.cc
@@ -14,7 +14,7 @@
   if (reserved_ && !still_needed(now)) reserved_.reset();
   if (reserved_) return;
   // By then every machine has sent a heartbeat since the job became starved, and none had room.
-  const Ms min_wait_ms = constants::kStarvedMs + policy_.heartbeat_round_ms();
+  const Ms min_wait_ms = constants::kStarvationAgeMs + policy_.heartbeat_round_ms();
   for (const ScheduledJob* job : jobs_.waiting_jobs()) {
     if (!job->starved || now - job->ready_at < min_wait_ms ||
         !rules_.may_start(machine, *job, unreconciled, now) ||
--- a/src/scheduler/scheduled_job.cc
+++ b/src/scheduler/scheduled_job.cc
@@ -66,15 +66,16 @@
   missed_objectives = 0;
   // Limits how long a job waits for its first start, whatever its objectives are and however many
   // other jobs are more urgent.
-  starved = !has_started && now - ready_at >= constants::kStarvedMs;
-  latest_start = ready_at + constants::kUnboundedMs;
+  starved = !has_started && now - ready_at >= constants::kStarvationAgeMs;
+  latest_start = ready_at + constants::kDefaultLatestStartMs;
   if (target_times.empty()) return;
   std::size_t missed = 0;
   while (missed < target_times.size() && now + run_ms > target_times[missed]) ++missed;
   missed_objectives = static_cast<int>(missed);
   latest_start = missed < target_times.size() ? target_times[missed] - run_ms : ready_at;
   const Ms target_span_ms = target_times.back() - submitted_at;
-  if (target_span_ms > 0 && now - submitted_at > constants::kPatienceTargets * target_span_ms)
+  if (target_span_ms > 0 &&
+      now - submitted_at > constants::kOverdueObjectiveFactor * target_span_ms)
     missed_objectives = 0;
 }
 
--- a/src/scheduler/scheduled_machine.cc
+++ b/src/scheduler/scheduled_machine.cc
@@ -23,9 +23,10 @@
 // have to preempt them.
 double ScheduledMachine::service_headroom_cpus() const {
   if (service_cpus <= 0 || !type) return 0;
-  const double max_reserved_cpus = type->cpus * constants::kReserveShare;
+  const double max_reserved_cpus = type->cpus * constants::kMaxServiceHeadroomShare;
   return largest_service_cpus <= max_reserved_cpus
-             ? std::min(max_reserved_cpus, constants::kReserveReplicas * largest_service_cpus)
+             ? std::min(max_reserved_cpus,
+                        constants::kServiceHeadroomReplicas * largest_service_cpus)
              : 0;
 }
 
--- a/src/scheduler/task_commands.cc
+++ b/src/scheduler/task_commands.cc
@@ -38,12 +38,12 @@
   const std::uint32_t index = job.next_queued();
   // Invariant 2: the attempt number is the fencing token, shifted left, plus a counter.
   const std::uint64_t attempt =
-      (machines_.fencing_token_of(machine) << constants::kAttemptBits) + ++attempt_counter_;
+      (machines_.fencing_token_of(machine) << constants::kAttemptCounterBits) + ++attempt_counter_;
   // Computed before `bind`, which counts the image as cached.
   const Ms image_fetch_ms = machine.fetch_ms(job);
   BoundTask& task = bindings_.bind(machine, job, index, attempt, TaskPhase::pulling, now);
   if (job.starved) {
-    task.protected_until = now + image_fetch_ms + constants::kBegunMs;
+    task.protected_until = now + image_fetch_ms + constants::kStarvedTaskProtectionMs;
     job.starved = false;  // the job has started: its further tasks have no precedence
     reservation_.job_started(job);
   }
--- a/src/state_store/compare_and_swap.h
+++ b/src/state_store/compare_and_swap.h
@@ -41,7 +41,7 @@
   std::vector<codec::Write> writes;
   std::string nonce;
   RequestPriority request_priority = RequestPriority::user;
-  int tries = constants::kCommitTries;
+  int tries = constants::kMaxCommitAttempts;
   /// Called exactly once. `store_revision` is the revision of the writes if the outcome is `ok`,
   /// otherwise 0.
   std::function<void(CasOutcome, std::uint64_t store_revision)> done;
--- a/src/state_store/compare_and_swapper.cc
+++ b/src/state_store/compare_and_swapper.cc
@@ -78,7 +78,7 @@
     if (pending->attempts_left <= 1)
       transaction.done(CasOutcome::unknown, 0);
     else
-      retry(pending, k::kRetryMs);
+      retry(pending, k::kRetryDelayMs);
   } else {
     transaction.done(CasOutcome::refused, 0);
   }
@@ -96,7 +96,7 @@
   // was executed.
   if (pending->transaction.in_doubt) {
     pending->conflict_revision = codec::parse_store_revision(reply.body).value_or(0);
-    pending->reads_left = k::kCommitTries;
+    pending->reads_left = k::kMaxCommitAttempts;
     read_back_write(pending);
   } else {
     pending->transaction.done(CasOutcome::conflict, 0);
@@ -115,7 +115,7 @@
 void CompareAndSwapper::end_without_record(const PendingTransactionPtr& pending) {
   const bool in_doubt = pending->transaction.in_doubt;
   if (in_doubt && pending->attempts_left > 1) {
-    retry(pending, k::kRetryMs);
+    retry(pending, k::kRetryDelayMs);
     return;
   }
   const CasOutcome outcome = in_doubt ? CasOutcome::unknown : CasOutcome::refused;
@@ -134,7 +134,7 @@
     return;
   }
   const bool version_updated = dependencies_.acting_version.record_revision() != guard_revision;
-  retry(pending, version_updated ? 0 : k::kVersionRetryMs);
+  retry(pending, version_updated ? 0 : k::kVersionRetryDelayMs);
 }
 
 // ------------------------------------------------------------------------- resolving in-doubt
@@ -151,7 +151,7 @@
       pending->transaction.done(CasOutcome::unknown, 0);
     } else {
       --pending->reads_left;
-      dependencies_.runtime.after(k::kRetryMs, [this, pending] { read_back_write(pending); });
+      dependencies_.runtime.after(k::kRetryDelayMs, [this, pending] { read_back_write(pending); });
     }
   });
 }
--- a/src/state_store/controller_lease.cc
+++ b/src/state_store/controller_lease.cc
@@ -16,7 +16,7 @@
 // Invariant 6: the validity of a lease counts from when the request that granted or renewed it was
 // sent, shortened by the maximum clock drift and a safety margin.
 Ms valid_until(Ms sent_at) {
-  return sent_at + static_cast<Ms>(k::kLeaseTtlMs * (1 - k::kDrift)) - k::kLeaseMarginMs;
+  return sent_at + static_cast<Ms>(k::kLeaseTtlMs * (1 - k::kClockDriftShare)) - k::kLeaseMarginMs;
 }
 
 }  // namespace
@@ -24,7 +24,7 @@
 void ControllerLease::tick() {
   if (id_ == 0)
     acquire();
-  else if (!renewing_ && runtime_.now() - last_renewal_sent_at_ >= k::kLeaseRenewEveryMs)
+  else if (!renewing_ && runtime_.now() - last_renewal_sent_at_ >= k::kLeaseRenewIntervalMs)
     renew();
 }
 
@@ -59,7 +59,7 @@
                         replica_.remove_node(settings_.node);
                       const bool failed = status == http_status::kNoAnswer ||
                                           status >= http_status::kTooManyRequests;
-                      runtime_.after(failed ? k::kRetryMs : 0, [this] { acquiring_ = false; });
+                      runtime_.after(failed ? k::kRetryDelayMs : 0, [this] { acquiring_ = false; });
                     }});
 }
 
@@ -74,7 +74,7 @@
                                                 ? codec::parse_lease_id(reply.body)
                                                 : codec::status_error(reply.status);
                       if (!lease_id) {
-                        runtime_.after(k::kRetryMs, [this] { acquiring_ = false; });
+                        runtime_.after(k::kRetryDelayMs, [this] { acquiring_ = false; });
                         return;
                       }
                       id_ = *lease_id;
@@ -105,7 +105,7 @@
   else if (status == http_status::kNotFound)
     handle_loss();
   else  // retry the renewal after kRetryMs instead of a whole renewal interval
-    last_renewal_sent_at_ = runtime_.now() - k::kLeaseRenewEveryMs + k::kRetryMs;
+    last_renewal_sent_at_ = runtime_.now() - k::kLeaseRenewIntervalMs + k::kRetryDelayMs;
 }
 
 void ControllerLease::handle_loss() {
--- a/src/state_store/finished_jobs.h
+++ b/src/state_store/finished_jobs.h
@@ -9,8 +9,8 @@
 
 namespace eiderreel {
 
-/// The most recently ended jobs, at most constants::kFinishedKept, in the order in which this node
-/// received their final records.
+/// The most recently ended jobs, at most constants::kMaxRecentFinishedJobs, in the order in which
+/// this node received their final records.
 class FinishedJobs {
  public:
   /// Clears the history. From then on it is complete for jobs that end after `store_revision`.
--- a/src/state_store/rate_limiter.cc
+++ b/src/state_store/rate_limiter.cc
@@ -9,7 +9,7 @@
 namespace k = constants;
 
 void RateLimiter::TokenBucket::configure(double limit, double controllers) {
-  total_limit = limit * k::kBudgetShare;
+  total_limit = limit * k::kUsableRateShare;
   even_share = total_limit / controllers;
   rate = even_share;
   tokens = even_share;
@@ -18,12 +18,12 @@
 void RateLimiter::TokenBucket::refill(double seconds, double unused) {
   rate = even_share + unused;
   tokens = std::min(rate, tokens + seconds * rate);
-  used_rate *= std::exp(-seconds * 1000.0 / k::kUseMs);
+  used_rate *= std::exp(-seconds * 1000.0 / k::kUsageAveragingMs);
 }
 
 void RateLimiter::TokenBucket::consume(double count) {
   tokens -= count;
-  used_rate += count * 1000.0 / k::kUseMs;
+  used_rate += count * 1000.0 / k::kUsageAveragingMs;
 }
 
 RateLimiter::RateLimiter(const Settings& settings) {
@@ -44,12 +44,12 @@
   refilled_at_ = now;
   StoreUsage unused;
   for (const auto& [node, peer] : peer_usage_) {
-    if (now - peer.reported_at >= k::kStatusStaleMs) continue;
+    if (now - peer.reported_at >= k::kPeerStatusTtlMs) continue;
     unused.requests_per_s += std::max(0.0, requests_.even_share - peer.usage.requests_per_s);
     unused.changes_per_s += std::max(0.0, changes_.even_share - peer.usage.changes_per_s);
   }
-  requests_.refill(seconds, unused.requests_per_s * k::kBorrowedShare);
-  changes_.refill(seconds, unused.changes_per_s * k::kBorrowedShare);
+  requests_.refill(seconds, unused.requests_per_s * k::kBorrowableShare);
+  changes_.refill(seconds, unused.changes_per_s * k::kBorrowableShare);
 }
 
 // User requests may overdraw the bucket by the shares of all other controllers: they contain few
@@ -61,8 +61,9 @@
     return false;
   if (changes == 0) return true;
   const double required_tokens = std::min<double>(changes, changes_.rate - 0.5);
-  const double reserve =
-      request_priority == RequestPriority::progress ? changes_.even_share * k::kProgressKeep : 0;
+  const double reserve = request_priority == RequestPriority::progress
+                             ? changes_.even_share * k::kProgressReserveShare
+                             : 0;
   return changes_.tokens - required_tokens -
              std::min(reserve, changes_.rate - 0.5 - required_tokens) >=
          -debt_factor * (changes_.total_limit - changes_.even_share);
--- a/src/state_store/rate_limiter.h
+++ b/src/state_store/rate_limiter.h
@@ -42,7 +42,7 @@
     double even_share = 0;   // per second, the even share of one controller
     double rate = 0;         // per second, including what is borrowed from peers
     double tokens = 0;       // below 0: overdrawn
-    double used_rate = 0;    // per second, exponential average over kUseMs
+    double used_rate = 0;    // per second, exponential average over kUsageAveragingMs
     void configure(double limit, double controllers);
     void refill(double seconds, double unused);
     void consume(double count);
--- a/src/state_store/replicated_view.cc
+++ b/src/state_store/replicated_view.cc
@@ -249,7 +249,7 @@
   if (is_final(job)) return true;
   const auto open = view_.jobs.find(job);
   if (open != view_.jobs.end()) return open->second.nonce != nonce;
-  return !incomplete_jobs_.contains(job) && runtime_.now() - first_seen >= k::kOrphanedChunksMs;
+  return !incomplete_jobs_.contains(job) && runtime_.now() - first_seen >= k::kOrphanedChunkAgeMs;
 }
 
 std::vector<std::string> ReplicatedView::orphaned_chunks(std::size_t max_count) const {
@@ -262,12 +262,12 @@
 // --------------------------------------------------------------------------- final states
 
 void ReplicatedView::add_final_state(const std::string& id,
-                                    const DependencyGraph::FinalRecord& end) {
+                                     const DependencyGraph::FinalRecord& end) {
   unresolved_prerequisites_.erase(id);
   if (!view_.final_states.emplace(id, end).second) return;
   finished_jobs_.add({.id = id, .phase = end.phase, .revision = end.revision});
   final_states_order_.push_back(id);
-  if (final_states_order_.size() > k::kFinalCache) {
+  if (final_states_order_.size() > k::kMaxCachedFinalJobs) {
     view_.final_states.erase(final_states_order_.front());
     final_states_order_.pop_front();
   }
--- a/src/state_store/request_queue.cc
+++ b/src/state_store/request_queue.cc
@@ -25,7 +25,7 @@
 // A request beyond the number that can be sent within the timeout would expire in the queue anyway.
 bool RequestQueue::is_full() const {
   const double max_size =
-      std::max(k::kPendingLeast, settings_.state_rps * k::kStateTimeoutMs / 1000);
+      std::max(k::kMinRequestQueueCapacity, settings_.state_rps * k::kStateStoreTimeoutMs / 1000);
   return static_cast<double>(queue_.size()) >= max_size;
 }
 
@@ -91,7 +91,7 @@
     // sent again unchanged.
     if (reply.status == http_status::kTooManyRequests &&
         sent->request.priority == RequestPriority::user && runtime_.now() < sent->expires_at) {
-      runtime_.after(k::kOverLimitMs, [this, sent] { enqueue(std::move(*sent)); });
+      runtime_.after(k::kThrottledRetryDelayMs, [this, sent] { enqueue(std::move(*sent)); });
       return;
     }
     sent->request.done(reply);
--- a/src/state_store/store_reader.cc
+++ b/src/state_store/store_reader.cc
@@ -107,8 +107,8 @@
   }
   const PageQuery next{.prefix = codec::final_key(""),
                        .after = codec::before_final_key(query->ids.back()),
-                       .page = k::kEndsPage,
-                       .timeout = k::kStateTimeoutMs,
+                       .page = k::kFinalRecordPageItems,
+                       .timeout = k::kStateStoreTimeoutMs,
                        .priority = RequestPriority::user};
   read_page(next, [this, query](const StoreResult<codec::StateList>& page) {
     if (!page) {
@@ -208,7 +208,7 @@
             }
             waiters_.when_applied(comparison->store_revision,
                                   [call_done_once] { call_done_once({}); });
-            runtime_.after(k::kStateTimeoutMs, [call_done_once] {
+            runtime_.after(k::kStateStoreTimeoutMs, [call_done_once] {
               call_done_once(tl::unexpected(StoreError{.kind = StoreErrorKind::replica_behind,
                                                        .http_status = http_status::kOk,
                                                        .operation = "catch up",
--- a/src/state_store/store_watcher.cc
+++ b/src/state_store/store_watcher.cc
@@ -46,7 +46,7 @@
           return;
         }
         dependencies_.runtime.after(
-            k::kRetryMs, [this, prefix_index, after] { load_page(prefix_index, after); });
+            k::kRetryDelayMs, [this, prefix_index, after] { load_page(prefix_index, after); });
       });
 }
 
@@ -72,7 +72,7 @@
   dependencies_.requests.submit(
       {.method = "GET",
        .path = store_http::watch_path(std::string(followed_keys::kCommonPrefix), revision_, wait),
-       .timeout = wait + k::kWatchSlackMs,
+       .timeout = wait + k::kWatchTimeoutMarginMs,
        .priority = RequestPriority::urgent,
        .done = [this](const HttpReply& reply) { on_watch_reply(reply); }});
 }
@@ -86,11 +86,11 @@
   const auto changes = reply.status == http_status::kOk ? codec::parse_events(reply.body)
                                                         : codec::status_error(reply.status);
   if (!changes) {
-    dependencies_.runtime.after(k::kRetryMs, [this] { watch(k::kWatchWaitMs); });
+    dependencies_.runtime.after(k::kRetryDelayMs, [this] { watch(k::kWatchLongPollMs); });
     return;
   }
   apply_changes(*changes);
-  dependencies_.runtime.after(watch_interval(), [this] { watch(k::kWatchWaitMs); });
+  dependencies_.runtime.after(watch_interval(), [this] { watch(k::kWatchLongPollMs); });
 }
 
 void StoreWatcher::apply_changes(const codec::StateList& changes) {
@@ -108,8 +108,9 @@
 
 // Limits the watch to the share kWatchShare of this node's requests, however often the keys change.
 Ms StoreWatcher::watch_interval() const {
-  const double watches_per_s = dependencies_.rate_limiter.request_share_per_s() * k::kWatchShare;
-  return std::max(k::kWatchPauseMs, static_cast<Ms>(1000.0 / watches_per_s));
+  const double watches_per_s =
+      dependencies_.rate_limiter.request_share_per_s() * k::kWatchRequestShare;
+  return std::max(k::kMinWatchPauseMs, static_cast<Ms>(1000.0 / watches_per_s));
 }
 
 }  // namespace eiderreel
