--- a/src/leadership/conversion_rate_limiter.cc
+++ b/src/leadership/conversion_rate_limiter.cc
@@ -1,4 +1,4 @@
-// Limits how fast stored progress is converted, to a share of the state store's changes.
+// Limits the rate at which stored progress is converted to a share of the state store's write rate.
 #include "leadership/conversion_rate_limiter.h"
 
 #include <algorithm>
--- a/src/leadership/conversion_rate_limiter.h
+++ b/src/leadership/conversion_rate_limiter.h
@@ -1,4 +1,4 @@
-// Limits how fast stored progress is converted, to a share of the state store's changes.
+// Limits the rate at which stored progress is converted to a share of the state store's write rate.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -7,26 +7,28 @@
 
 namespace eiderreel::upgrade {
 
-/// A token bucket of changes, which also counts what was converted.
+/// A token bucket in units of state store changes (writes and deletes). It also counts the
+/// converted values.
 class ConversionRateLimiter {
  public:
-  /// `changes_per_s`: what the conversion may take of the state store's changes.
+  /// `changes_per_s`: the number of state store changes per second that the conversion may use.
   explicit ConversionRateLimiter(double changes_per_s) : changes_per_s_(changes_per_s) {}
 
-  /// Refills the bucket, and tells whether a commit may go now. One that takes more changes than
-  /// are saved up is paid for afterwards.
+  /// Refills the bucket and returns whether a commit may be sent now. One token is enough: a larger
+  /// commit leaves the bucket negative, which delays the commits after it.
   bool allows(Ms now);
-  /// A commit with so many changes is sent.
+  /// Consumes tokens for a commit of `changes` changes that is being sent.
   void take(std::size_t changes) { tokens_ -= static_cast<double>(changes); }
-  /// So many values are durably converted.
+  /// Counts `values` values as durably converted.
   void converted(std::size_t values) {
     converted_ += values;
     recent_ += static_cast<double>(values);
   }
 
-  /// Values that this process has converted.
+  /// The number of values converted since the start of the process.
   std::uint64_t converted() const { return converted_; }
-  /// Values converted a second, averaged over constants::kConversionRateMs.
+  /// Values converted per second, as an exponentially decaying average with the time constant
+  /// constants::kConversionRateMs.
   double values_per_s() const { return recent_ * 1000.0 / constants::kConversionRateMs; }
 
  private:
@@ -34,7 +36,7 @@
   double tokens_ = 0;
   Ms refilled_at_ = 0;
   std::uint64_t converted_ = 0;
-  double recent_ = 0;  // values converted lately, the older ones weighed less
+  double recent_ = 0;  // values converted, decayed exponentially with age
 };
 
 }  // namespace eiderreel::upgrade
--- a/src/leadership/garbage_collector.cc
+++ b/src/leadership/garbage_collector.cc
@@ -1,4 +1,4 @@
-// Deleting keys that are of no more use.
+// Deletes keys in the state store that are no longer needed.
 #include "leadership/garbage_collector.h"
 
 #include <utility>
@@ -34,7 +34,7 @@
   state_store_.compare_and_swap(std::move(swap));
 }
 
-// What may still be there is tried again with a later batch.
+// Unless the deletion is proven, the keys are queued again for a later batch.
 void GarbageCollector::on_deleted(const LeadershipTerm& term, const std::vector<std::string>& keys,
                                   CasOutcome outcome) {
   in_flight_ = false;
--- a/src/leadership/garbage_collector.h
+++ b/src/leadership/garbage_collector.h
@@ -1,4 +1,4 @@
-// Deleting keys that are of no more use.
+// Deletes keys in the state store that are no longer needed.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,14 +9,16 @@
 
 namespace eiderreel {
 
-/// Deletes progress of jobs that are over, found at a failover or left by a final commit that was
-/// full; on the cluster leader also prerequisite lists of jobs that are not open.
+/// Deletes the progress keys of finished jobs: those found when a partition is activated, and those
+/// that did not fit into the final commit's transaction. On the cluster leader, it also deletes
+/// chunks of prerequisite lists whose jobs are not open.
 class GarbageCollector {
  public:
   GarbageCollector(const Settings& settings, StateStoreClient& state_store, LedPartitions& led)
       : settings_(settings), state_store_(state_store), led_(led) {}
 
-  /// Deletes the next keys, at most a transaction of them, unless a deletion is on its way.
+  /// Deletes the next keys, at most one transaction of them. Does nothing while an earlier deletion
+  /// is in flight.
   void collect(LedPartition& led);
 
  private:
--- a/src/leadership/heartbeat_router.cc
+++ b/src/leadership/heartbeat_router.cc
@@ -1,4 +1,5 @@
-// Where a heartbeat goes: to a partition led here, or to the node that leads its partition.
+// Routes heartbeats: to a partition that this controller leads, or by redirect to the leader of the
+// machine's partition.
 #include "leadership/heartbeat_router.h"
 
 #include <utility>
@@ -30,7 +31,7 @@
     return redirect(heartbeat, 0, std::move(reply));
   }
   const int partition = machine->second.record.partition;
-  const bool released = partition < 0;  // it is being returned to the cloud
+  const bool released = partition < 0;  // the machine is being returned to the cloud
   if (released) return reply(http_status::kServiceUnavailable, "");
   LedPartition* led = led_.find_acting(partition);
   if (!led) return redirect(heartbeat, partition, std::move(reply));
@@ -61,14 +62,15 @@
   commands_.reply_to_heartbeat(led, machine, answer.commands, reply);
 }
 
-// Whether the node that led a partition last is a peer that is not heard of.
+// Whether the last known leader of a partition is a peer whose status messages have stopped.
 bool HeartbeatRouter::leader_silent(int partition) const {
   const auto leader = claims_.last_leader(partition);
   return leader && *leader != settings_.node && !peers_.alive(*leader);
 }
 
-// A worker that is sent to a leader that has stopped waits 4 s for it, for the second time, and its
-// lease ends. Where the leader is silent, the heartbeat is held for a failover.
+// A worker that is redirected to a stopped leader waits 4 s for an answer a second time, and its
+// lease expires meanwhile. If the leader is silent, the heartbeat is therefore held until another
+// controller takes over the partition, at most kHoldHeartbeatMs.
 void HeartbeatRouter::redirect(const Heartbeat& heartbeat, int partition, Reply reply) {
   if (!leader_silent(partition)) return redirect_to_leader(partition, reply);
   held_[heartbeat.machine] = {heartbeat, partition, std::move(reply),
@@ -83,8 +85,8 @@
   reply(http_status::kMisdirectedRequest, codec::upstream_body(stored->second.leader));
 }
 
-// Silence is no proof that the leader has stopped, so in the end the worker is told its name all
-// the same.
+// Silence does not prove that the leader has stopped, so the worker is redirected to it once the
+// hold time is over.
 void HeartbeatRouter::release_held() {
   std::vector<HeldHeartbeat> ready;
   for (auto held = held_.begin(); held != held_.end();) {
--- a/src/leadership/heartbeat_router.h
+++ b/src/leadership/heartbeat_router.h
@@ -1,4 +1,5 @@
-// Where a heartbeat goes: to a partition led here, or to the node that leads its partition.
+// Routes heartbeats: to a partition that this controller leads, or by redirect to the leader of the
+// machine's partition.
 #pragma once
 #include <functional>
 #include <map>
@@ -14,10 +15,12 @@
 
 namespace eiderreel {
 
-/// Takes in heartbeats of workers. During a failover it holds those that no controller can answer.
+/// Receives the heartbeats of workers. During a failover it holds the heartbeats that no controller
+/// can answer yet.
 class HeartbeatRouter {
  public:
-  /// Assigns a machine that the state store does not know; called on the cluster leader only.
+  /// Assigns a machine without a record in the state store to a partition. Called on the cluster
+  /// leader only.
   using Assign = std::function<void(const Heartbeat&, Reply)>;
 
   HeartbeatRouter(Runtime& runtime, const Settings& settings, const StateStoreClient& state_store,
@@ -31,12 +34,13 @@
         claims_(claims),
         commands_(commands),
         counters_(counters) {}
-  /// Sets who assigns unknown machines; to be called once.
+  /// Sets the callback for unknown machines. Must be called once, before the first heartbeat.
   void start(Assign assign) { assign_ = std::move(assign); }
 
-  /// Takes a heartbeat in; `reply` is called once, at once or later.
+  /// Processes a heartbeat. `reply` is called exactly once, immediately or later.
   void receive(const Heartbeat& heartbeat, Reply reply);
-  /// Sends on the held heartbeats for which it is now known where they belong.
+  /// Dispatches the held heartbeats whose partition's leader is no longer silent, and redirects
+  /// those whose hold time is over.
   void release_held();
 
  private:
--- a/src/leadership/job_finalizer.cc
+++ b/src/leadership/job_finalizer.cc
@@ -1,4 +1,4 @@
-// The commits that end jobs.
+// Commits the final records of jobs.
 #include "leadership/job_finalizer.h"
 
 #include <spdlog/spdlog.h>
@@ -18,8 +18,9 @@
   return runtime_.now() - persistence.last_commit_at >= k::kFinalRetryMs;
 }
 
-// Invariant 7: done and cancelled are told only after this commit. It is tried until its outcome
-// is proven, for as long as we are the leader, and nothing of the job is started.
+// Invariant 7: a job is reported as done or cancelled only after this commit. While this controller
+// leads the partition, the commit is retried until its outcome is proven, and no task of the job is
+// started meanwhile.
 void JobFinalizer::commit(LedPartition& led, const std::string& job, const Reply& reply) {
   JobPersistence& persistence = led.persistence[job];
   if (persistence.in_flight)
@@ -35,7 +36,7 @@
   state_store_.compare_and_swap(std::move(swap));
 }
 
-// A job whose tasks are all done is done, also for a user who cancels it.
+// A job whose tasks are all done ends as done, even if its user cancels it.
 FinalCommit JobFinalizer::prepare(const LedPartition& led, const std::string& job,
                                   const upgrade::StoredValues& progress) {
   FinalCommit commit;
@@ -56,8 +57,9 @@
   return commit;
 }
 
-// In doubt it stays in doubt. Without that, a later try that was refused once let the job's tasks
-// start again; then the first landed after all, and another node said "cancelled" while they ran.
+// Once the outcome of an attempt is unknown, the commit stays marked as in doubt. Otherwise the
+// refusal of a later attempt allowed the job's tasks to start again; when the first attempt then
+// took effect, another node reported "cancelled" while the tasks were running.
 void JobFinalizer::on_committed(const LeadershipTerm& term, const std::string& job, JobPhase phase,
                                 CasOutcome outcome, const Reply& reply) {
   if (outcome == CasOutcome::ok) {
@@ -90,8 +92,8 @@
   for (const auto& job : due) commit(led, job, [](int, const std::string&) {});
 }
 
-// Invariant 12: jobs that are cancelled by implication get records of their own, in batches, for as
-// long as they have none. Whoever else writes one writes the same.
+// Invariant 12: jobs that are cancelled because a prerequisite was cancelled get their own final
+// records, in batches, until each has one. Any other writer of such a record writes the same phase.
 void JobFinalizer::commit_implied_cancellations(LedPartition& led) {
   const std::vector<std::string> jobs = next_implied_cancellations(led);
   if (jobs.empty()) return;
@@ -115,7 +117,8 @@
   state_store_.compare_and_swap(std::move(swap));
 }
 
-// Every job takes two writes of the transaction.
+// Each job needs two writes of the transaction: its final record and the deletion of its job
+// record.
 std::vector<std::string> JobFinalizer::next_implied_cancellations(LedPartition& led) const {
   const ClusterView& view = state_store_.view();
   const auto most = static_cast<std::size_t>(std::max(1, settings_.batch() / 2));
--- a/src/leadership/job_finalizer.h
+++ b/src/leadership/job_finalizer.h
@@ -1,4 +1,4 @@
-// The commits that end jobs.
+// Commits the final records of jobs.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,22 +9,23 @@
 
 namespace eiderreel {
 
-/// Writes the final records of jobs, and tells their outcome once it is durable.
+/// Writes the final records of jobs and reports their outcome once it is durable.
 class JobFinalizer {
  public:
   JobFinalizer(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
                LedPartitions& led)
       : runtime_(runtime), settings_(settings), state_store_(state_store), led_(led) {}
 
-  /// Commits the end of a job: done if its tasks are, otherwise cancelled. Replies 200 with the
-  /// phase once it is durable, 503 while it is not.
+  /// Commits the end of a job: done if all its tasks are done, otherwise cancelled. Replies 200
+  /// with the phase once the record is durable, and 503 if the commit is not confirmed or another
+  /// commit of the job is in flight.
   void commit(LedPartition& led, const std::string& job, const Reply& reply);
-  /// Commits the ends of jobs that were cancelled while they waited for others, as far as they are
-  /// not proven yet.
+  /// Retries the final commits of jobs that were cancelled while they waited for prerequisites,
+  /// until they are proven.
   void commit_cancelled_while_waiting(LedPartition& led);
-  /// Commits the ends of jobs that are cancelled because a prerequisite is.
+  /// Commits the final records of jobs that are cancelled because a prerequisite was cancelled.
   void commit_implied_cancellations(LedPartition& led);
-  /// Whether the last try of a final commit is long enough ago for another.
+  /// Whether the last attempt is long enough ago (constants::kFinalRetryMs) for another one.
   bool retry_due(const JobPersistence& persistence) const;
 
  private:
--- a/src/leadership/job_lookup.cc
+++ b/src/leadership/job_lookup.cc
@@ -1,4 +1,4 @@
-// What the view tells of a job: its partition, and the guards of a commit about it.
+// Lookups of a job in the replicated view: its partition, and the preconditions of its commits.
 #include "leadership/job_lookup.h"
 
 namespace eiderreel {
--- a/src/leadership/job_lookup.h
+++ b/src/leadership/job_lookup.h
@@ -1,4 +1,4 @@
-// What the view tells of a job: its partition, and the guards of a commit about it.
+// Lookups of a job in the replicated view: its partition, and the preconditions of its commits.
 #pragma once
 #include <optional>
 #include <string>
@@ -10,11 +10,12 @@
 
 namespace eiderreel {
 
-/// The partition of an open job; nothing: the job is not open.
+/// Returns the partition of an open job, or std::nullopt if the job is not open.
 std::optional<int> partition_of_job(const ClusterView& view, const Settings& settings,
                                     const std::string& job);
 
-/// The guards of a commit about a job: the leader's claim and the job's record.
+/// The preconditions of a commit about a job: the revisions of the leader's claim (the fencing
+/// token) and of the job's record, 0 if the job is not open.
 std::vector<codec::Precondition> job_preconditions(const ClusterView& view,
                                                    const LeadershipTerm& term,
                                                    const std::string& job);
--- a/src/leadership/job_persistence.cc
+++ b/src/leadership/job_persistence.cc
@@ -1,12 +1,12 @@
-// What is written of the jobs of a led partition, and when.
+// Schedules the commits about the jobs of a led partition.
 #include "leadership/job_persistence.h"
 
 namespace eiderreel {
 
 namespace k = constants;
 
-// While the state store is silent, users alone are a reason to try a final commit; it is asked for
-// the lease all the time.
+// While the state store does not answer, final commits are sent only at a user's request. They are
+// not needed to detect that it answers again, since lease renewals are sent continually.
 void JobPersistenceSchedule::tick(LedPartition& led) {
   const bool store_silent = runtime_.now() - state_store_.last_good() >= k::kStateSilentMs;
   for (const auto& job : led.scheduler->jobs_to_record()) persist_job(led, job, store_silent);
--- a/src/leadership/job_persistence.h
+++ b/src/leadership/job_persistence.h
@@ -1,4 +1,4 @@
-// What is written of the jobs of a led partition, and when.
+// Schedules the commits about the jobs of a led partition.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,7 +11,8 @@
 
 namespace eiderreel {
 
-/// Paces the commits about jobs: progress, final records, deletions and the conversion.
+/// Decides when to send the commits about jobs: progress, final records, deletions of obsolete keys
+/// and the conversion of stored progress.
 class JobPersistenceSchedule {
  public:
   JobPersistenceSchedule(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
@@ -22,7 +23,7 @@
         progress_(runtime, settings, state_store, led),
         garbage_(settings, state_store, led) {}
 
-  /// Sends the commits that are due for a partition that this controller acts for.
+  /// Sends the commits that are due for a partition of which this controller is the acting leader.
   void tick(LedPartition& led);
   /// See ProgressRecorder::conversion.
   std::optional<ConversionProgress> conversion() const { return progress_.conversion(); }
--- a/src/leadership/job_query.h
+++ b/src/leadership/job_query.h
@@ -1,4 +1,4 @@
-// The answer of a job's leader to a question about it, or why there is none.
+// The answer of a partition's leader to a query about a job, or the reason why it gives none.
 #pragma once
 #include <functional>
 #include <tl/expected.hpp>
@@ -7,16 +7,16 @@
 
 namespace eiderreel {
 
-/// Why the leader of a job's partition says nothing of it; the state store itself must tell then.
+/// Why the leader of a job's partition gives no answer. The caller must then read the state store.
 enum class JobQueryError {
-  not_leader,        ///< the controller asked is not the acting leader
-  unknown_job,       ///< the leader's scheduler does not know the job
-  outcome_in_doubt,  ///< the job may have ended: the leader's news may be older than a user's
+  not_leader,        ///< the queried controller is not the acting leader
+  unknown_job,       ///< the job is not open, or not in the leader's scheduler
+  outcome_in_doubt,  ///< the job may have ended: users may already have seen a newer state
   unreachable,       ///< no leader is known, or it does not answer in time
-  unspecified,       ///< a peer has declined; the message between peers does not tell why
+  unspecified,       ///< a peer declined to answer; the peer message does not carry the reason
 };
 
-/// What the user is to be told, or why that is not known.
+/// The HTTP reply for the user, or the reason why there is none.
 using JobQueryResult = tl::expected<HttpReply, JobQueryError>;
 using JobQueryDone = std::function<void(JobQueryResult)>;
 
--- a/src/leadership/leadership_counters.h
+++ b/src/leadership/leadership_counters.h
@@ -1,4 +1,4 @@
-// What the leadership modules count for /metrics.
+// Counters of the leadership modules for /metrics.
 #pragma once
 #include <cstdint>
 
@@ -7,10 +7,10 @@
 /// Events since the start of the process.
 struct LeadershipCounters {
   std::uint64_t claims = 0;
-  std::uint64_t failbacks = 0;   ///< partitions given up, also those whose workers were lost
+  std::uint64_t failbacks = 0;   ///< partitions relinquished, also after lost contact with workers
   std::uint64_t heartbeats = 0;  ///< heartbeats received
   std::uint64_t stale_heartbeats = 0;
-  std::uint64_t deferred = 0;  ///< replies to heartbeats that waited for work
+  std::uint64_t deferred = 0;  ///< heartbeat replies that were deferred until there is work
   std::uint64_t starts = 0;    ///< launch commands sent
   std::uint64_t lease_expiries = 0;
   std::uint64_t preemptions = 0;
--- a/src/leadership/leadership_votes.cc
+++ b/src/leadership/leadership_votes.cc
@@ -1,5 +1,5 @@
-// The votes of peers not to claim our partitions, which let us act through an outage of the state
-// store.
+// Votes of peers not to claim the partitions of this controller, which let it continue to act
+// during an outage of the state store.
 #include "leadership/leadership_votes.h"
 
 #include <algorithm>
@@ -15,9 +15,9 @@
       state_store_(state_store),
       last_request_number_(static_cast<std::uint64_t>(runtime.random() * k::kFirstNumberRange)) {}
 
-// Invariant 6: a controller that is not surely the leader does nothing. It is sure while its lease
-// is alive or, while nobody reaches the state store, while all peers have voted not to claim its
-// partitions.
+// Invariant 6: a controller acts for a partition only while it is certain to be the leader. It is
+// certain while its lease is alive or, if no node reaches the state store, while the votes of all
+// peers not to claim its partitions are valid.
 bool LeadershipVotes::may_act() const {
   if (state_store_.lease_alive()) return true;
   if (state_store_.lease_id() == 0 || settings_.peers.empty()) return false;
@@ -28,8 +28,8 @@
   });
 }
 
-// Votes are requested as soon as the state store is silent, so that they are there when the lease
-// can no longer be trusted.
+// Votes are requested as soon as the state store stops answering, so that they have arrived by the
+// time the lease can no longer be trusted.
 std::optional<peer_rpc::VoteRequest> LeadershipVotes::next_request(
     std::vector<std::pair<int, std::uint64_t>> partitions) {
   const Ms now = runtime_.now();
@@ -48,12 +48,13 @@
   return request;
 }
 
-// A vote counts from the sending of its request.
+// The validity of a vote counts from the time at which its request was sent.
 void LeadershipVotes::receive(const std::string& node, const peer_rpc::Vote& vote) {
   const auto sent_at = request_sent_at_.find(vote.number);
   if (sent_at == request_sent_at_.end() || !vote.granted) return;
-  // Our view stands still while votes let us act. What the peer may have told its users must be
-  // known here first: otherwise the tasks of such a job go on until the outage is over.
+  // The replicated view receives no updates while the controller acts on votes. Finished jobs that
+  // the peer may have reported to users must be merged before the vote counts; otherwise the tasks
+  // of such a job would run on until the outage is over.
   state_store_.replica().merge_finished(vote.finished);
   const Ms until =
       sent_at->second + static_cast<Ms>(k::kVoteMs * (1 - k::kDrift)) - k::kLeaseMarginMs;
--- a/src/leadership/led_partition.cc
+++ b/src/leadership/led_partition.cc
@@ -1,4 +1,4 @@
-// Lookups in what is kept of a led partition.
+// Lookups in the state of a led partition.
 #include "leadership/led_partition.h"
 
 #include <utility>
--- a/src/leadership/led_partitions.h
+++ b/src/leadership/led_partitions.h
@@ -11,35 +11,36 @@
 
 namespace eiderreel {
 
-/// Owns every led partition. A reference to one holds until `step_down`.
+/// Owns every led partition. A reference to one stays valid until `step_down`.
 class LedPartitions {
  public:
   using Map = std::map<int, LedPartition>;
 
   explicit LedPartitions(const LeadershipVotes& votes) : votes_(votes) {}
 
-  /// Null: it is not led here.
+  /// Returns null if this controller does not lead the partition.
   LedPartition* find(int partition);
-  /// Null: the term is over.
+  /// Returns null if the term is over.
   LedPartition* find(const LeadershipTerm& term);
-  /// Null: it is not led here, or this controller may not act for it now.
+  /// Returns null if this controller does not lead the partition or may not act for it now.
   LedPartition* find_acting(int partition);
-  /// Whether the partition is led here.
+  /// Whether this controller leads the partition.
   bool contains(int partition) const { return led_.contains(partition); }
-  /// Whether no partition is led here.
+  /// Whether this controller leads no partition.
   bool empty() const { return led_.empty(); }
 
-  /// Invariant 6: whether the partition is active here and this controller is surely its leader.
+  /// Invariant 6: whether the partition is active here and this controller is certain to lead it.
   bool acting(int partition) const;
 
-  /// Begins a term; the partition must not be led here yet.
+  /// Begins a term. This controller must not lead the partition yet.
   LedPartition& add(int partition) { return led_[partition]; }
-  /// Ends a term: machines that wait for a reply are sent away. Nothing happens if it is not led.
+  /// Ends a term: deferred heartbeats are answered with 503. Does nothing if this controller does
+  /// not lead the partition. `reason` is logged.
   void step_down(int partition, const char* reason);
   /// Stops leading all partitions; `reason` is logged.
   void step_down_from_all(const char* reason);
 
-  /// Each partition that is led, with its fencing token.
+  /// The led partitions with their fencing tokens.
   std::vector<std::pair<int, std::uint64_t>> fencing_tokens() const;
 
   /// The partitions in ascending order.
--- a/src/leadership/machine_transfers.cc
+++ b/src/leadership/machine_transfers.cc
@@ -1,4 +1,4 @@
-// Giving machines to other partitions, or back to the cloud.
+// Transfers machines to other partitions, or releases them to the cloud.
 #include "leadership/machine_transfers.h"
 
 #include <spdlog/spdlog.h>
@@ -9,7 +9,8 @@
 
 namespace k = constants;
 
-// The machines are chosen together, and moved in as few transactions as the state store allows.
+// All machines are chosen first, then moved in as few transactions as the size limit of the state
+// store allows.
 void MachineTransfers::transfer(const peer_rpc::TransferRequest& request) {
   LedPartition* led = led_.find_acting(request.partition);
   if (!led || request.to == request.partition || request.to >= settings_.partition_count) return;
@@ -48,9 +49,10 @@
   commit(term, machines, std::move(swap));
 }
 
-// In doubt the machines stay on their way out, and the same commit is tried until it is proven done
-// or undone. Without that, a later try that was refused once let their leader use them again; then
-// the first landed after all, and their tasks were started a second time while they still ran.
+// While the outcome is unknown, the machines stay in transfer, and the same commit is retried until
+// it is proven to have succeeded or failed. Otherwise the refusal of a later attempt let the leader
+// use the machines again; when the first attempt then took effect, their tasks were started a
+// second time while they were still running.
 void MachineTransfers::commit(const LeadershipTerm& term, const Machines& machines,
                               CompareAndSwap swap) {
   CompareAndSwap again = swap;
--- a/src/leadership/machine_transfers.h
+++ b/src/leadership/machine_transfers.h
@@ -1,4 +1,4 @@
-// Giving machines to other partitions, or back to the cloud.
+// Transfers machines to other partitions, or releases them to the cloud.
 #pragma once
 #include <string>
 #include <vector>
@@ -10,15 +10,17 @@
 
 namespace eiderreel {
 
-/// Invariant 3: only its leader gives a machine away, idle, under guard of the claim.
+/// Invariant 3: a machine is transferred only by the leader of its partition, only while it is
+/// idle, and only in a commit whose preconditions include the leader's claim.
 class MachineTransfers {
  public:
   MachineTransfers(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
                    LedPartitions& led)
       : runtime_(runtime), settings_(settings), state_store_(state_store), led_(led) {}
 
-  /// The cluster leader's advice: gives idle machines of one kind to another partition, or releases
-  /// them where `to` is negative. Nothing happens if the partition is not led here.
+  /// Carries out a request of the cluster leader: transfers idle machines of one kind to another
+  /// partition, or releases them to the cloud if `to` is negative. Does nothing unless this
+  /// controller is the acting leader of the partition.
   void transfer(const peer_rpc::TransferRequest& request);
 
  private:
--- a/src/leadership/partition_activation.cc
+++ b/src/leadership/partition_activation.cc
@@ -1,5 +1,4 @@
-// From a claim that has landed to a partition that is active: its stored progress, machines and
-// jobs are loaded.
+// Activates partitions after their claim is committed: loads stored progress, machines and jobs.
 #include "leadership/partition_activation.h"
 
 #include <spdlog/spdlog.h>
@@ -29,8 +28,8 @@
       std::make_unique<PartitionScheduler>(term.partition, term.fencing_token, runtime_.now(),
                                            scheduling_policy(), settings_.teams_of(term.partition));
   led.scheduler->set_types(types_);
-  // The picture is whole once the view has our claim: nothing of the partition changes after it
-  // without us, but for new jobs and machines, which the view will tell.
+  // The view is complete once it contains this claim: after the claim, nothing in the partition
+  // changes without this leader, except for new jobs and machines, which the view announces.
   state_store_.when_applied(term.fencing_token, [this, term] { load_progress(term); });
 }
 
@@ -53,8 +52,8 @@
   DoneTasks done;
   for (const auto& row : rows) {
     const std::string job = codec::done_key_job(row.key);
-    // Progress is written under a claim: of a job accepted before ours, so one that is not open is
-    // over.
+    // Progress is written only under a claim, so this row was written under an earlier one for a
+    // job accepted before the current claim. If that job is not open, it is final.
     if (!jobs.contains(job)) {
       led.garbage_keys.push_back(row.key);
       continue;
--- a/src/leadership/partition_activation.h
+++ b/src/leadership/partition_activation.h
@@ -1,5 +1,4 @@
-// From a claim that has landed to a partition that is active: its stored progress, machines and
-// jobs are loaded.
+// Activates partitions after their claim is committed: loads stored progress, machines and jobs.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,7 +13,7 @@
 
 namespace eiderreel {
 
-/// Makes the schedulers of newly claimed partitions.
+/// Creates the schedulers of newly claimed partitions.
 class PartitionActivation {
  public:
   PartitionActivation(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
@@ -26,9 +25,9 @@
         jobs_(jobs),
         counters_(counters) {}
 
-  /// Begins a term; nothing happens if the partition is led already.
+  /// Begins a term. Does nothing if this controller already leads the partition.
   void activate(const LeadershipTerm& term);
-  /// The machine types of the cloud, for all partitions now and later.
+  /// Sets the machine types of the cloud for all led partitions, also those claimed later.
   void set_types(const std::vector<MachineType>& types);
 
  private:
--- a/src/leadership/partition_claims.cc
+++ b/src/leadership/partition_claims.cc
@@ -1,4 +1,4 @@
-// Claiming partitions that have no leader.
+// Claims partitions that have no leader.
 #include "leadership/partition_claims.h"
 
 #include <algorithm>
@@ -37,7 +37,8 @@
   }
 }
 
-// Invariant 6: a vote is kept, also one that an earlier process of this node has given.
+// Invariant 6: a vote is honoured, also one that an earlier process of this node has given. This
+// process has no record of such a vote, so after its start it waits until any vote has expired.
 bool PartitionClaims::is_postponed(int partition) const {
   const Ms now = runtime_.now();
   const auto postponed = postponed_until_.find(partition);
@@ -46,7 +47,8 @@
          now - started_at_ < k::kVoteMs + k::kLeaseMarginMs;
 }
 
-// The preferred leader comes first, and whoever hears workers comes before those that do not.
+// The preferred leader claims first, and nodes in contact with workers claim before those that have
+// lost contact.
 Ms PartitionClaims::vacancy_before_claim(int partition) const {
   const std::string preferred = settings_.preferred_leader_of(partition);
   Ms wait = 0;
@@ -75,9 +77,10 @@
   state_store_.compare_and_swap(std::move(swap));
 }
 
-// In doubt it may still land: the partition's key will tell, see `partition_changed`. It may also
-// never land, so the partition is claimed again; otherwise it could stay without leader. That
-// another claim stands there now says nothing of an earlier try without answer.
+// A claim with unknown outcome may still take effect, which `partition_changed` detects from the
+// partition's key. It may also never take effect, so the partition is claimed again; otherwise it
+// could remain without a leader. `superseded` is also treated as unknown: that the key holds
+// another claim now does not prove whether an earlier unanswered attempt took effect.
 void PartitionClaims::on_claim_result(int partition, std::uint64_t lease_id, CasOutcome outcome,
                                       std::uint64_t revision) {
   const bool lease_lasts = lease_id == state_store_.lease_id();
@@ -89,7 +92,7 @@
 }
 
 void PartitionClaims::lease_lost() {
-  in_doubt_.clear();  // what is bound to a lease that is over cannot land any more
+  in_doubt_.clear();  // a claim bound to an ended lease can no longer take effect
   led_.step_down_from_all("lease-lost");
 }
 
@@ -100,7 +103,7 @@
   if (stored != partitions.end()) last_leader_[partition] = stored->second.leader;
   LedPartition* led = led_.find(partition);
   if (!led) {
-    // A claim of ours has landed, perhaps one that was in doubt.
+    // A claim of this controller has taken effect, possibly one whose outcome was unknown.
     if (ours && stored->second.lease_id == state_store_.lease_id() &&
         !handover_.is_deleting(partition, stored->second.revision))
       activation_.activate({partition, stored->second.revision});
--- a/src/leadership/partition_claims.h
+++ b/src/leadership/partition_claims.h
@@ -1,4 +1,4 @@
-// Claiming partitions that have no leader.
+// Claims partitions that have no leader.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -16,7 +16,7 @@
 
 namespace eiderreel {
 
-/// Claims vacant partitions, and follows who leads which.
+/// Claims vacant partitions and tracks the leader of each partition.
 class PartitionClaims {
  public:
   PartitionClaims(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
@@ -32,17 +32,19 @@
         activation_(activation),
         started_at_(runtime.now()) {}
 
-  /// Claims every partition that has been vacant for long enough.
+  /// Claims every partition that has been vacant for longer than this controller's claim delay.
   void claim_vacant();
-  /// The key of a partition has changed in the view.
+  /// Handles a change of a partition's key in the view.
   void partition_changed(int partition);
-  /// This controller has lost its lease: nothing is led any more.
+  /// Handles the loss of this controller's lease: steps down from all partitions.
   void lease_lost();
-  /// Whether a claim of ours is on its way, or in doubt.
+  /// Whether a claim of this controller is in flight, or its outcome is unknown.
   bool may_land(int partition) const;
-  /// Invariant 6: by our vote, the partition is not claimed before this steady time.
+  /// Invariant 6: records the vote of this controller not to claim the partition before this steady
+  /// time.
   void postpone_until(int partition, Ms until);
-  /// The node that led the partition last, as far as this process has seen; nothing: none was seen.
+  /// The last leader of the partition that this process has seen, or std::nullopt if it has seen
+  /// none.
   std::optional<std::string> last_leader(int partition) const;
 
  private:
@@ -64,8 +66,9 @@
   std::map<int, Ms> vacant_since_;
   std::map<int, Ms> postponed_until_;
   std::map<int, std::string> last_leader_;
-  std::set<int> claiming_;  // a claim of ours is on its way
-  std::set<int> in_doubt_;  // one may still land, for as long as our lease lasts
+  std::set<int> claiming_;  // partitions with a claim in flight
+  std::set<int>
+      in_doubt_;  // partitions with a claim that may still take effect while the lease lasts
 };
 
 }  // namespace eiderreel
--- a/src/leadership/partition_handover.cc
+++ b/src/leadership/partition_handover.cc
@@ -1,4 +1,4 @@
-// Giving up partitions: to their preferred leader, or to a peer that still hears workers.
+// Relinquishes partitions to their preferred leader, or to a peer that has contact with workers.
 #include "leadership/partition_handover.h"
 
 #include <algorithm>
@@ -12,7 +12,8 @@
   return claim != deleting_claims_.end() && claim->second == revision;
 }
 
-// A partition is given up only while the state store surely hears of it.
+// A partition is relinquished only while the state store is reachable, so that the deletion of the
+// claim can be committed.
 bool PartitionHandover::may_relinquish() const {
   return state_store_.lease_alive() &&
          runtime_.now() - state_store_.last_good() < k::kStateSilentMs;
@@ -31,13 +32,14 @@
     if (preferred == settings_.node || !led.active || !may_relinquish()) continue;
     if (!may_fail_back_to(preferred)) continue;
     relinquish(partition, "failback");
-    return;  // the map has changed; one a tick is enough
+    return;  // the iterators are invalid now; one partition per tick is enough
   }
 }
 
-// A controller that alone has lost its workers keeps its lease, and would keep its partitions; the
-// leases of their machines would end, all of them together. It gives the partitions to a peer that
-// hears workers, in time for them to find it.
+// If only this controller has lost contact with the workers, its lease in the state store stays
+// alive and it would keep its partitions, while the leases of all their machines expire together.
+// It relinquishes them to a peer that has contact with workers, early enough for the workers to
+// find that peer before their leases expire.
 bool PartitionHandover::relinquish_if_workers_lost() {
   if (workers_.hears_workers() || !may_relinquish() || !peers_.any_hears_workers()) return false;
   const auto first =
@@ -47,8 +49,9 @@
   return true;
 }
 
-// The claim is deleted under guard, and another node claims the partition. We stop acting before
-// the commit is sent, since it may land unanswered.
+// Deletes the claim on the precondition that it is unchanged, after which another node claims the
+// partition. The controller steps down before the commit is sent, since the commit may take effect
+// without an answer.
 void PartitionHandover::relinquish(int partition, const char* reason) {
   const LeadershipTerm claim = led_.find(partition)->term();
   led_.step_down(partition, reason);
@@ -57,9 +60,10 @@
   delete_claim(claim);
 }
 
-// Until the deletion has surely landed, the key says that the partition is ours while nobody acts
-// for it. Without retries a refused deletion left the key there for ever: all machines of the
-// partition were sent from node to node and back, and no task of it started any more.
+// Until the deletion is committed, the key names this controller as leader although none acts for
+// the partition. Without retries, a refused deletion left the key in place permanently: all
+// machines of the partition were redirected back and forth between nodes, and none of its tasks
+// started.
 void PartitionHandover::delete_claim(const LeadershipTerm& claim) {
   CompareAndSwap swap;
   swap.nonce = state_store_.nonce();
--- a/src/leadership/partition_handover.h
+++ b/src/leadership/partition_handover.h
@@ -1,4 +1,4 @@
-// Giving up partitions: to their preferred leader, or to a peer that still hears workers.
+// Relinquishes partitions to their preferred leader, or to a peer that has contact with workers.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -26,12 +26,12 @@
         workers_(workers),
         counters_(counters) {}
 
-  /// Gives at most one partition back to its preferred leader.
+  /// Relinquishes at most one partition so that its preferred leader can claim it.
   void fail_back();
-  /// Gives up one partition if this controller is cut off from its workers and a peer is not;
-  /// returns whether it did.
+  /// Relinquishes one partition if this controller has lost contact with workers and a peer has
+  /// not. Returns whether it did.
   bool relinquish_if_workers_lost();
-  /// Whether a claim of ours was given up and its deletion is not proven yet.
+  /// Whether the claim with this revision was relinquished and its deletion is not proven yet.
   bool is_deleting(int partition, std::uint64_t revision) const;
 
  private:
@@ -47,7 +47,7 @@
   const PeerDirectory& peers_;
   const WorkerLiveness& workers_;
   LeadershipCounters& counters_;
-  std::map<int, std::uint64_t> deleting_claims_;  // revisions by partition
+  std::map<int, std::uint64_t> deleting_claims_;  // revisions of the claims, by partition
 };
 
 }  // namespace eiderreel
--- a/src/leadership/partition_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -1,4 +1,4 @@
-// The jobs of the led partitions: how they open and close, and questions about them.
+// The jobs of the led partitions: opening, closing, status queries and cancellation.
 #include "leadership/partition_jobs.h"
 
 #include <spdlog/spdlog.h>
@@ -16,14 +16,15 @@
 
 void decline(const JobQueryDone& done, JobQueryError error) { done(tl::unexpected(error)); }
 
-// Passes the reply of a final commit on to whoever asked for it.
+// Adapts the callback of a query to the reply of a final commit.
 Reply reply_to(const JobQueryDone& done) {
   return [done](int status, std::string body) { done(HttpReply{status, std::move(body)}); };
 }
 
 }  // namespace
 
-// Null: it is not led here, or its activation will read the view.
+// Returns null if this controller does not lead the partition, or has not activated it yet: the
+// activation reads all jobs from the view.
 LedPartition* PartitionJobs::active_partition_of(const JobSpec& spec) {
   LedPartition* led = led_.find(settings_.partition_of_team(spec.team));
   return led && led->active ? led : nullptr;
@@ -46,8 +47,9 @@
                dependencies.cancelled(job));
 }
 
-// Invariant 11: the last of its prerequisites is durably done. Until now the partition knew nothing
-// of the job: it took part in no quota, no fair share, no need of machines.
+// Invariant 11: a job is opened only once the last of its prerequisites is durably done. Until then
+// it is not in the partition's scheduler and counts towards no quota, fair share or demand for
+// machines.
 void PartitionJobs::job_ready(const std::string& job) {
   const auto& jobs = state_store_.view().jobs;
   const auto entry = jobs.find(job);
@@ -56,14 +58,14 @@
   if (!led) return;
   spdlog::info("job ready job={} fencing_token={}", job, led->scheduler->fencing_token());
   open(*led, job, {});
-  // Its user has cancelled it while it waited, and that is still to be recorded.
+  // The user cancelled the job while it waited, and its final record is not committed yet.
   const JobPersistence* persistence = led->find_persistence(job);
   if (persistence && persistence->cancel_asked) led->scheduler->cancel_job(job);
   commands_.answer_deferred(*led);
 }
 
-// A job that became free to start after our claim never had a task under an earlier leader,
-// whenever it was accepted.
+// A job that became ready after this controller's claim never had a task started by an earlier
+// leader, whenever it was accepted.
 void PartitionJobs::open(LedPartition& led, const std::string& job,
                          const std::vector<std::uint32_t>& done) {
   const ClusterView& view = state_store_.view();
@@ -116,23 +118,23 @@
   const auto status = led->scheduler->status(query.job);
   if (!status) return decline(done, JobQueryError::unknown_job);
   if (!query.cancel) {
-    // While a final commit may have landed, a peer may have read it and told its users. What we
-    // hold to be open would then go back on that; the state store alone can tell.
+    // While a final commit may have taken effect, a peer may have read it and reported the job as
+    // final to users. Reporting it as open would contradict that; only the state store can tell.
     const JobPersistence* persistence = led->find_persistence(query.job);
     if (persistence && persistence->final_commit)
       return decline(done, JobQueryError::outcome_in_doubt);
     return done(HttpReply{http_status::kOk, codec::job_status(query.job, *status)});
   }
-  // Its tasks are of no use to anyone from now on. Killed only after the commit, they would go on
-  // for as long as its outcome is in doubt.
+  // The job's tasks are no longer needed. If they were killed only after the commit, they would run
+  // on for as long as its outcome is unknown.
   led->scheduler->cancel_job(query.job);
   commands_.send_kills(*led);
   finalizer_.commit(*led, query.job, reply_to(done));
 }
 
-// Invariant 12: the leader of a waiting job alone tells that it is cancelled by implication, so
-// that nobody tells older news after that, and whoever leads it next knows all that this leader
-// knew.
+// Invariant 12: only the leader of a waiting job's partition reports that the job is cancelled
+// because a prerequisite was cancelled. So no other controller reports an older state afterwards,
+// and the next leader has at least the information of this one.
 void PartitionJobs::query_waiting(LedPartition& led, const peer_rpc::JobQuery& query,
                                   const JobQueryDone& done) {
   if (state_store_.view().dependencies.cancelled(query.job))
--- a/src/leadership/partition_jobs.h
+++ b/src/leadership/partition_jobs.h
@@ -1,4 +1,4 @@
-// The jobs of the led partitions: how they open and close, and questions about them.
+// The jobs of the led partitions: opening, closing, status queries and cancellation.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -14,7 +14,7 @@
 
 namespace eiderreel {
 
-/// Tells the schedulers of led partitions what becomes of their jobs, and answers for them.
+/// Applies changes of jobs to the schedulers of led partitions, and answers queries about jobs.
 class PartitionJobs {
  public:
   PartitionJobs(Runtime& runtime, const Settings& settings, const StateStoreClient& state_store,
@@ -26,17 +26,19 @@
         finalizer_(finalizer),
         commands_(commands) {}
 
-  /// A job was accepted; it must be in the view.
+  /// Handles an accepted job, which must be in the view.
   void job_opened(const std::string& job);
-  /// The last prerequisite of a job is durably done.
+  /// Handles a job whose last prerequisite is durably done.
   void job_ready(const std::string& job);
-  /// A job is final.
+  /// Handles a job that has become final.
   void job_closed(const std::string& job);
-  /// Other jobs wait more, or less, urgently for this one.
+  /// Handles a change of the urgency that a job inherits from the jobs that depend on it.
   void urgency_changed(const std::string& job);
-  /// Opens a job that is free to start. `done`: its tasks that are recorded as done.
+  /// Opens a job that does not wait for prerequisites. `done`: the indices of its tasks that are
+  /// recorded as done.
   void open(LedPartition& led, const std::string& job, const std::vector<std::uint32_t>& done);
-  /// Tells the state of a job, or cancels it, if this controller may speak for it.
+  /// Reports the state of a job, or cancels it, if this controller is the acting leader of its
+  /// partition. `done` is called exactly once, immediately or after a final commit.
   void query(const peer_rpc::JobQuery& query, const JobQueryDone& done);
 
  private:
--- a/src/leadership/partition_leader.cc
+++ b/src/leadership/partition_leader.cc
@@ -1,4 +1,4 @@
-// The facade of this folder: passes on to its modules what happens, and drives them by ticks.
+// The facade of the leadership modules: forwards events to them and runs their periodic work.
 #include "leadership/partition_leader.h"
 
 #include <utility>
@@ -92,7 +92,7 @@
 
 void PartitionLeader::lease_lost() { claims_.lease_lost(); }
 
-// ------------------------------------------------------------------- what others may know
+// ------------------------------------------------------------------- state for other modules
 
 bool PartitionLeader::acting(int partition) const { return led_.acting(partition); }
 
@@ -135,7 +135,8 @@
   workers_.tick();
   claims_.claim_vacant();
   handover_.fail_back();
-  // Peers should know that we have lost our workers before they see the key go.
+  // Peers should learn that this controller has lost contact with workers before they see the claim
+  // deleted.
   if (handover_.relinquish_if_workers_lost()) status_sent_at_ = 0;
   if (const auto request = votes_.next_request(led_.fencing_tokens())) hooks_.broadcast(*request);
   router_.release_held();
@@ -147,7 +148,8 @@
 void PartitionLeader::tick_partition(LedPartition& led) {
   machines_.expire_leases(led);
   if (!led_.acting(led.scheduler->index())) {
-    // Not entitled at the moment: those who wait are sent on, nothing is started.
+    // This controller may not act for the partition at present: it answers the deferred heartbeats
+    // with 503 and starts nothing.
     const auto deferred = std::exchange(led.deferred, {});
     for (const auto& [machine, waiting] : deferred)
       waiting.reply(http_status::kServiceUnavailable, "");
--- a/src/leadership/partition_leader.h
+++ b/src/leadership/partition_leader.h
@@ -1,5 +1,6 @@
-// The facade of this folder: claims partitions, keeps to their leases, answers heartbeats and
-// questions for them. It alone speaks for a partition, and only while it is surely the leader.
+// The facade of the leadership modules: claims partitions, enforces the leases, and answers
+// heartbeats and job queries. Only the leader answers for a partition, and only while it is certain
+// to be the leader.
 #pragma once
 #include <functional>
 #include <map>
@@ -30,13 +31,12 @@
 
 namespace eiderreel {
 
-/// Owns the modules of this folder, and passes on to them what happens. All times are steady, in
-/// milliseconds.
+/// Owns the leadership modules and forwards events to them. All times are steady, in milliseconds.
 class PartitionLeader {
  public:
   using Counters = LeadershipCounters;
   struct Hooks {
-    /// An unknown machine has sent a heartbeat, and we are the cluster leader: assign it.
+    /// Assigns an unknown machine that has sent a heartbeat. Called on the cluster leader only.
     HeartbeatRouter::Assign assign;
     /// Sends a message to every peer.
     std::function<void(const peer_rpc::Body&)> broadcast;
@@ -57,55 +57,55 @@
   void transfer_machines(const peer_rpc::TransferRequest& request);
   /// See PartitionMachines::cordon.
   void cordon(const peer_rpc::CordonRequest& request);
-  /// A peer has sent its status.
+  /// Handles the status message of a peer.
   void peer_status(const std::string& node, const peer_rpc::PeerStatus& status);
-  /// The cloud has said that these machines are gone.
+  /// Handles the report of the cloud that these machines are terminated.
   void machines_terminated(const std::vector<std::string>& machines);
-  /// Our vote on a peer's request that we do not claim its partitions for a while.
+  /// Returns the vote on a peer's request not to claim its partitions for a limited time.
   peer_rpc::Vote vote_on(const std::string& node, const peer_rpc::VoteRequest& request);
-  /// A peer has answered a request for votes.
+  /// Handles the answer of a peer to a vote request.
   void receive_vote(const std::string& node, const peer_rpc::Vote& vote);
-  /// The machine types that the cloud offers.
+  /// Sets the machine types that the cloud offers.
   void types_known(const std::vector<MachineType>& types);
 
   // --- changes of the replicated view, see ReplicatedView::Events ---
   void job_opened(const std::string& job);
   /// The last prerequisite of a job is durably done.
   void job_ready(const std::string& job);
-  /// The record of a job is gone: it is over.
+  /// The record of a job was deleted: the job is final.
   void job_closed(const std::string& job);
-  /// Jobs that depend on this one ask more, or less, of it.
+  /// The urgency that a job inherits from its dependents has changed.
   void urgency_changed(const std::string& job);
-  /// The record of a machine has changed, or is gone.
+  /// The record of a machine has changed or was deleted.
   void machine_changed(const std::string& machine);
-  /// The claim of a partition has changed, or is gone.
+  /// The claim of a partition has changed or was deleted.
   void partition_changed(int partition);
-  /// This node's lease in the state store is over.
+  /// This node's lease in the state store has ended.
   void lease_lost();
 
-  // --- what others may know ---
-  /// Whether this controller is surely the leader of the partition now.
+  // --- state for other modules ---
+  /// Invariant 6: whether this controller is certain to be the leader of the partition now.
   bool acting(int partition) const;
   /// The leader of partition 0 leads the cluster.
   bool is_cluster_leader() const { return acting(0); }
-  /// Whether the peer has sent a status lately.
+  /// Whether the peer's last status is newer than constants::kStatusStaleMs.
   bool peer_alive(const std::string& node) const;
-  /// Whether a peer is known to run a build that knows no prerequisites. A peer of which nothing
-  /// is known does not count: it may be away for long.
+  /// Whether a peer is known to run a build without support for prerequisites. A peer without a
+  /// record or a recent status does not count, since it may be down for a long time.
   bool has_old_peer() const;
-  /// The newest load of every partition, ours and the peers'.
+  /// The latest load of each partition, as led by this controller or reported by peers.
   std::map<int, PartitionLoad> partition_loads() const;
-  /// The schedulers of the partitions led here. The pointers hold until control returns to the
-  /// event loop.
+  /// The schedulers of the partitions that this controller leads. The pointers are valid until
+  /// control returns to the event loop.
   std::map<int, const PartitionScheduler*> partitions() const;
-  /// All that was counted since the start.
+  /// The counters since the start of the process.
   const Counters& counters() const { return counters_; }
-  /// How far the conversion of stored progress has come in our partitions; nothing where cluster
-  /// versions are disabled.
+  /// The state of the conversion of stored progress in this controller's partitions, or
+  /// std::nullopt if cluster versions are disabled.
   std::optional<ConversionProgress> conversion() const;
-  /// The same of a peer, if it is alive and tells it.
+  /// The same for a peer, if it is alive and reports it.
   std::optional<ConversionProgress> peer_conversion(const std::string& node) const;
-  /// Partitions of which no leader is heard, here or among the peers.
+  /// Partitions whose load is reported neither by this controller nor by a live peer.
   std::vector<int> unheard_partitions() const;
 
  private:
@@ -119,7 +119,7 @@
   Counters counters_;
   Ms status_sent_at_ = 0;
 
-  // Each module refers to those above it only.
+  // Each module refers only to modules declared above it.
   LeadershipVotes votes_;
   LedPartitions led_;
   PeerDirectory peers_;
--- a/src/leadership/partition_machines.cc
+++ b/src/leadership/partition_machines.cc
@@ -1,4 +1,4 @@
-// The machines of the led partitions: those that come, go or are lost.
+// The machines of the led partitions: added, transferred, cordoned or lost.
 #include "leadership/partition_machines.h"
 
 #include <spdlog/spdlog.h>
@@ -11,14 +11,15 @@
   const auto& machines = state_store_.view().machines;
   const auto entry = machines.find(machine);
   for (auto& [partition, led] : led_) {
-    if (!led.active) continue;  // its activation will read the view
+    if (!led.active) continue;  // the activation reads all machines from the view
     PartitionScheduler& scheduler = *led.scheduler;
     if (entry != machines.end() && entry->second.record.partition == partition) {
       const std::uint64_t revision = entry->second.revision;
       scheduler.add_machine(machine, revision, revision > scheduler.fencing_token(),
                             runtime_.now());
     } else if (scheduler.has_machine(machine)) {
-      // Given away by our own commit, idle; or released. Nothing of ours is on it.
+      // The machine was transferred away while idle, by a commit of this controller, or released.
+      // No task of this partition runs on it.
       if (const auto reply = led.take_deferred(machine))
         reply(http_status::kServiceUnavailable, "");
       scheduler.remove_machine(machine);
@@ -40,7 +41,8 @@
     led->scheduler->cordon(request.cpus, request.drain, runtime_.now());
 }
 
-// While we may not act, the machines send their heartbeats to somebody else: that is no loss.
+// While this controller may not act, the machines send their heartbeats to another one, so an
+// expired lease does not count as a lost machine.
 void PartitionMachines::expire_leases(LedPartition& led) {
   PartitionScheduler& scheduler = *led.scheduler;
   const bool acting = led_.acting(scheduler.index());
--- a/src/leadership/partition_machines.h
+++ b/src/leadership/partition_machines.h
@@ -1,4 +1,4 @@
-// The machines of the led partitions: those that come, go or are lost.
+// The machines of the led partitions: added, transferred, cordoned or lost.
 #pragma once
 #include <string>
 #include <vector>
@@ -10,20 +10,21 @@
 
 namespace eiderreel {
 
-/// Tells the schedulers of led partitions what becomes of their machines.
+/// Applies changes of machines to the schedulers of led partitions.
 class PartitionMachines {
  public:
   PartitionMachines(Runtime& runtime, const StateStoreClient& state_store, LedPartitions& led,
                     LeadershipCounters& counters)
       : runtime_(runtime), state_store_(state_store), led_(led), counters_(counters) {}
 
-  /// The record of a machine has changed in the view.
+  /// Handles a change of a machine's record in the view.
   void machine_changed(const std::string& machine);
-  /// The cloud has said that these machines are gone.
+  /// Handles the report of the cloud that these machines are terminated.
   void machines_terminated(const std::vector<std::string>& machines);
-  /// The cluster leader's advice to let machines run empty.
+  /// Carries out a request of the cluster leader to cordon machines, so that they drain.
   void cordon(const peer_rpc::CordonRequest& request);
-  /// Gives up the machines of an active partition that were silent beyond their lease.
+  /// Declares those machines of an active partition lost whose lease has expired without a
+  /// heartbeat.
   void expire_leases(LedPartition& led);
 
  private:
--- a/src/leadership/peer_directory.cc
+++ b/src/leadership/peer_directory.cc
@@ -1,4 +1,4 @@
-// What the peers have last told of themselves.
+// Keeps the latest status message of each peer.
 #include "leadership/peer_directory.h"
 
 #include <algorithm>
--- a/src/leadership/peer_directory.h
+++ b/src/leadership/peer_directory.h
@@ -1,4 +1,4 @@
-// What the peers have last told of themselves.
+// Keeps the latest status message of each peer.
 #pragma once
 #include <map>
 #include <optional>
@@ -11,27 +11,28 @@
 
 namespace eiderreel {
 
-/// The newest status of every peer.
+/// The latest status of each peer. A peer is alive while its status is newer than
+/// constants::kStatusStaleMs.
 class PeerDirectory {
  public:
   PeerDirectory(Runtime& runtime, const Settings& settings, StateStoreClient& state_store)
       : runtime_(runtime), settings_(settings), state_store_(state_store) {}
 
-  /// Takes in the status of a peer.
+  /// Stores the status of a peer and passes its state store usage to the state store client.
   void receive(const std::string& node, const peer_rpc::PeerStatus& status);
 
-  /// Whether the peer has sent a status lately.
+  /// Whether the peer's last status is newer than constants::kStatusStaleMs.
   bool alive(const std::string& node) const;
-  /// Whether a living peer says that it hears no worker.
+  /// Whether the peer is alive and reports that it has lost contact with workers.
   bool has_lost_workers(const std::string& node) const;
-  /// Whether any living peer that is known to the state store hears workers.
+  /// Whether any live peer with a node record in the state store has contact with workers.
   bool any_hears_workers() const;
-  /// Whether a peer is known to run a build that knows no prerequisites. A peer of which nothing
-  /// is known does not count: it may be away for long.
+  /// Whether a peer is known to run a build without support for prerequisites. A peer without a
+  /// record or a recent status does not count, since it may be down for a long time.
   bool has_old_peer() const;
-  /// The load of every partition that a living peer acts for.
+  /// The load of each partition for which a live peer is the acting leader.
   std::map<int, PartitionLoad> partition_loads() const;
-  /// A living peer's conversion of stored progress; nothing if it does not tell.
+  /// A live peer's conversion of stored progress, or std::nullopt if the peer does not report it.
   std::optional<ConversionProgress> conversion(const std::string& node) const;
 
  private:
--- a/src/leadership/progress_plan.cc
+++ b/src/leadership/progress_plan.cc
@@ -1,4 +1,4 @@
-// Which values hold the progress of an array, and which of them a commit should write.
+// Plans which values store the progress of a job array, and which of them a commit writes.
 #include "leadership/progress_plan.h"
 
 #include <algorithm>
@@ -25,7 +25,8 @@
   return {key_of(job, range), codec::encode_done(done, range, form, nonce), form};
 }
 
-// The one value for all tasks, where the job may have it and it fits.
+// The single value for all tasks, if the form and the job's size allow one and it fits into the
+// largest value of the state store.
 std::optional<ProgressValue> whole_value(const ProgressOfJob& job, ProgressForm form,
                                          const std::string& nonce) {
   const TaskRange first_range = codec::progress_range(0, job.tasks, job.value_bytes);
@@ -37,7 +38,8 @@
   return value;
 }
 
-// The values that together hold all done tasks in this form, as far as they may be written.
+// The values that together hold all done tasks in this form, without those whose stored value is
+// unreadable.
 std::vector<ProgressValue> all_values(const ProgressOfJob& job, ProgressForm form,
                                       const std::string& nonce) {
   if (auto whole = whole_value(job, form, nonce)) return {std::move(*whole)};
@@ -98,8 +100,8 @@
     if (is_stored_as(job.stored, value)) continue;
     if (batch.writes.size() < most) batch.writes.push_back(std::move(value));
   }
-  // What goes is in other values by then, or with the same commit: there is room for it only once
-  // all values are written.
+  // Deletes come after all writes: the content of a deleted value is then stored in other values,
+  // or written by the same commit.
   for (const auto& [key, stored] : job.stored) {
     if (batch.size() == most) break;
     if (!stored.unreadable && stored.form != to && !kept.contains(key))
--- a/src/leadership/progress_plan.h
+++ b/src/leadership/progress_plan.h
@@ -1,10 +1,12 @@
-// Which values hold the progress of an array, and which of them a commit should write: to record
-// tasks that have ended, or to convert what is stored in another form. Pure: no I/O.
+// Plans which values store the progress of a job array, and which of them a commit writes: to
+// record done tasks, or to convert values that are stored in another form. Pure functions without
+// I/O.
 //
-// A job's tasks are laid out in ranges, each with a value of its own. In the compact form a job of
-// several ranges has one value for all of its tasks, as long as that fits. Values may overlap: done
-// is done for ever, so what is stored is the union of all values, and each is only ever replaced by
-// one that holds at least as much of its range.
+// A job's tasks are divided into ranges, each with its own value. In the compact form, a job of
+// several ranges has one value for all its tasks if that fits into the largest value of the state
+// store. Values may overlap: a done task stays done, so the stored progress is the union of all
+// values, and a value is only replaced by one that contains at least the same done tasks of its
+// range.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -17,30 +19,30 @@
 
 namespace eiderreel::upgrade {
 
-/// What is known of a stored progress value.
+/// Metadata of a stored progress value.
 struct StoredProgress {
   std::uint64_t revision = 0;
   ProgressForm form = ProgressForm::bits;
-  bool unreadable = false;  ///< in neither form: never written, converted or deleted by its leader
+  bool unreadable = false;  ///< not decodable in either form: never written, converted or deleted
 };
-/// By key.
+/// Stored progress values by key.
 using StoredValues = std::map<std::string, StoredProgress>;
 
-/// What a row of the state store holds; one that is not there has revision 0.
+/// The metadata of a row of the state store. A missing row has revision 0.
 StoredProgress stored_progress(const codec::StateRow& row);
 
-/// The job whose progress is stored.
+/// A job and its stored progress.
 struct ProgressOfJob {
   int partition = 0;
   std::string id;
   std::uint32_t tasks = 0;
-  std::size_t value_bytes = 0;  ///< the largest value that the state store takes
-  /// Of `count` tasks from `first` on, those that are done.
+  std::size_t value_bytes = 0;  ///< the largest value that the state store accepts, in bytes
+  /// Returns the indices of the done tasks among `count` tasks starting at `first`.
   std::function<std::vector<std::uint32_t>(std::uint32_t first, std::uint32_t count)> done;
   const StoredValues& stored;
 };
 
-/// A value to be written.
+/// A progress value to write.
 struct ProgressValue {
   std::string key, value;
   ProgressForm form = ProgressForm::bits;
@@ -50,7 +52,7 @@
 struct ProgressBatch {
   std::vector<ProgressValue> writes;
   std::vector<std::string> deletes;     ///< keys
-  std::vector<std::uint32_t> recorded;  ///< of the tasks to be recorded, those in `writes`
+  std::vector<std::uint32_t> recorded;  ///< the tasks to record that `writes` contains
 
   /// Whether there is nothing to write.
   bool empty() const { return size() == 0; }
@@ -58,16 +60,17 @@
   std::size_t size() const { return writes.size() + deletes.size(); }
 };
 
-/// Values that record these tasks, at most `most` of them; the rest is left for the next batch.
+/// Returns at most `most` values that record these tasks. The remaining tasks are left for the next
+/// batch.
 ProgressBatch batch_to_record(const ProgressOfJob& job, const std::vector<std::uint32_t>& tasks,
                               ProgressForm form, std::size_t most, const std::string& nonce);
 
-/// The next values to write and to delete, together at most `most`, so that none in another form is
-/// left.
+/// Returns the next values to write and to delete, together at most `most`, on the way to a state
+/// in which no readable value is in another form than `to`.
 ProgressBatch batch_to_convert(const ProgressOfJob& job, ProgressForm to, std::size_t most,
                                const std::string& nonce);
 
-/// How many readable values are in another form.
+/// The number of readable values in another form than `to`.
 std::size_t values_to_convert(const StoredValues& stored, ProgressForm to);
 
 }  // namespace eiderreel::upgrade
--- a/src/leadership/progress_recorder.cc
+++ b/src/leadership/progress_recorder.cc
@@ -1,4 +1,4 @@
-// Recording the done tasks of jobs, and converting what is recorded in another form.
+// Records the done tasks of jobs, and converts progress that is stored in another form.
 #include "leadership/progress_recorder.h"
 
 #include <utility>
@@ -10,7 +10,8 @@
 
 namespace k = constants;
 
-// Each controller takes the same part of the operators' share.
+// The configured conversion share of the state store's write rate is divided equally among all
+// controllers.
 ProgressRecorder::ProgressRecorder(Runtime& runtime, const Settings& settings,
                                    StateStoreClient& state_store, LedPartitions& led)
     : runtime_(runtime),
@@ -50,8 +51,8 @@
          !scheduler.is_complete(job) && upgrade::values_to_convert(persistence.progress, form) > 0;
 }
 
-// One job at a time, and only within the share of the state store's changes that the operators
-// leave to it. What is left to do stands in the values themselves, so any leader can go on with it.
+// Converts one job at a time, within the configured share of the state store's write rate. The
+// stored values themselves show what remains to be converted, so any later leader can continue.
 void ProgressRecorder::convert(LedPartition& led) {
   const auto policy = state_store_.progress_policy();
   if (!state_store_.acting_version().enabled() || !policy.convert_to) return;
@@ -67,12 +68,13 @@
     conversion_rate_limiter_.take(batch.size());
     return commit(led, job, nonce, std::move(batch), true);
   }
-  // A look at all jobs in every tick would cost more than the conversion itself.
+  // Scanning all jobs in every tick would cost more than the conversion itself.
   led.look_for_conversion_at = runtime_.now() + k::kConversionLookMs;
 }
 
-// Each value is guarded by its own revision, so a late copy of an earlier batch cannot undo a later
-// one. The values are in the form of the version acted under, and never land under another.
+// The revision of each value is a precondition, so a delayed duplicate of an earlier batch cannot
+// undo a later one. The values are encoded in the form of the acting cluster version, and the
+// commit is bound to that version, so they are never committed under another.
 void ProgressRecorder::commit(LedPartition& led, const std::string& job, const std::string& nonce,
                               upgrade::ProgressBatch batch, bool conversion) {
   JobPersistence& persistence = led.persistence[job];
@@ -117,7 +119,7 @@
   led->scheduler->mark_recorded(job, batch.recorded);
 }
 
-// Which batch stands there is not known: the revisions are read before the next one.
+// It is not known which batch is stored, so the revisions are read before the next one.
 void ProgressRecorder::read_again(const LeadershipTerm& term, const std::string& job,
                                   const upgrade::ProgressBatch& batch) {
   std::vector<std::string> keys = batch.deletes;
--- a/src/leadership/progress_recorder.h
+++ b/src/leadership/progress_recorder.h
@@ -1,4 +1,4 @@
-// Recording the done tasks of jobs, and converting what is recorded in another form.
+// Records the done tasks of jobs, and converts progress that is stored in another form.
 #pragma once
 #include <optional>
 #include <string>
@@ -12,18 +12,18 @@
 
 namespace eiderreel {
 
-/// Writes the progress values of jobs in led partitions.
+/// Writes the progress values of the jobs in led partitions.
 class ProgressRecorder {
  public:
   ProgressRecorder(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
                    LedPartitions& led);
 
-  /// Records the done tasks of one job, in one batch of at most a transaction; the rest goes with
-  /// the next.
+  /// Records the done tasks of one job in one batch of at most one transaction. The remaining tasks
+  /// are recorded by later batches.
   void record(LedPartition& led, const std::string& job);
-  /// Converts a batch of values of one job of the partition, if the rate limit has room.
+  /// Converts a batch of values of one job of the partition, if the rate limit allows it.
   void convert(LedPartition& led);
-  /// How far the conversion has come in all led partitions; nothing where cluster versions are
+  /// The state of the conversion in all led partitions, or std::nullopt if cluster versions are
   /// disabled.
   std::optional<ConversionProgress> conversion() const;
 
--- a/src/leadership/vote_granter.cc
+++ b/src/leadership/vote_granter.cc
@@ -1,4 +1,4 @@
-// The votes that this controller gives to peers: not to claim their partitions for a while.
+// Grants votes to peers: promises not to claim their partitions for a limited time.
 #include "leadership/vote_granter.h"
 
 #include <algorithm>
@@ -7,11 +7,12 @@
 
 namespace k = constants;
 
-// The vote carries every end of a job that the requester's view may lack. A node that has not
-// followed the state store for that long cannot know them all, and gives no vote.
+// A vote carries all finished jobs that the requester's view may lack. A node whose record of
+// finished jobs does not reach back to the requester's revision grants no vote.
 peer_rpc::Vote VoteGranter::vote_on(const std::string& node, const peer_rpc::VoteRequest& request) {
-  // A node that alone was refused by the state store before the outage has not seen the claim of
-  // the partition that it lost. It gave no vote then, and all leases of the partition ended.
+  // Merges the claims from the request first: a node whose requests alone were refused by the state
+  // store before the outage has not seen the claim of the partition that it lost. Without the merge
+  // it granted no vote, and all leases of the partition expired.
   for (const auto& [partition, revision] : request.partitions)
     state_store_.replica().merge_claim(partition, node, revision);
   auto finished = state_store_.replica().finished_since(request.store_revision);
@@ -23,9 +24,10 @@
   return {request.number, true, std::move(*finished)};
 }
 
-// A vote is given only while the state store does not answer us either, and only to the leader
-// last seen there. A claim of ours that may still land forbids it. An earlier process of this node
-// had a lease that is ended before we have one, so none of its claims can land any more.
+// A vote is granted only while the state store does not answer this node either, and only to the
+// last known leader of the partitions. It is refused while a claim of this node may still take
+// effect. Claims of an earlier process of this node cannot: its lease is ended before this process
+// gets one.
 bool VoteGranter::may_vote(const std::string& node, const peer_rpc::VoteRequest& request) const {
   if (!state_store_.view().ready || state_store_.lease_id() == 0 || request.ttl > k::kVoteMs ||
       runtime_.now() - state_store_.last_good() < k::kStateSilentMs)
--- a/src/leadership/vote_granter.h
+++ b/src/leadership/vote_granter.h
@@ -1,4 +1,4 @@
-// The votes that this controller gives to peers: not to claim their partitions for a while.
+// Grants votes to peers: promises not to claim their partitions for a limited time.
 #pragma once
 #include <string>
 
@@ -9,14 +9,14 @@
 
 namespace eiderreel {
 
-/// Answers the peers' requests for votes, and holds the claims to the votes given.
+/// Answers the vote requests of peers, and postpones claims according to the granted votes.
 class VoteGranter {
  public:
   VoteGranter(Runtime& runtime, StateStoreClient& state_store, const LedPartitions& led,
               PartitionClaims& claims)
       : runtime_(runtime), state_store_(state_store), led_(led), claims_(claims) {}
 
-  /// The vote for a peer; `granted` is false where it cannot be given.
+  /// Returns the vote for a peer; `granted` is false if the vote is refused.
   peer_rpc::Vote vote_on(const std::string& node, const peer_rpc::VoteRequest& request);
 
  private:
--- a/src/leadership/worker_commands.cc
+++ b/src/leadership/worker_commands.cc
@@ -1,5 +1,5 @@
-// How commands reach the workers: in the reply to a heartbeat, at once or deferred, or by a request
-// to the worker.
+// Sends commands to workers: in the immediate or deferred reply to a heartbeat, or in a request to
+// the worker.
 #include "leadership/worker_commands.h"
 
 #include <spdlog/spdlog.h>
@@ -28,8 +28,9 @@
   reply(http_status::kOk, codec::heartbeat_reply_body(fencing_token, commands));
 }
 
-// Invariant 6, guard: a process that has stood still finds changes of the state store before its
-// own tick, and the lease may be over by then. The deferred machines are looked at one by one.
+// Invariant 6 is checked first: a process that was paused may process changes of the state store
+// before its next tick, when its lease may already have ended. The deferred machines are tried one
+// by one.
 void WorkerCommands::answer_deferred(LedPartition& led) {
   PartitionScheduler& scheduler = *led.scheduler;
   if (!led_.acting(scheduler.index())) return;
@@ -48,12 +49,13 @@
     reply_to_heartbeat(led, machine, starts, led.take_deferred(machine));
 }
 
-// Invariant 6: without a lease the kills are kept until the leader is sure of it again, or drops
-// the partition.
+// Invariant 6: while the controller may not act for the partition, the kills stay queued until it
+// may act again or steps down.
 void WorkerCommands::send_kills(LedPartition& led) {
   if (!led_.acting(led.scheduler->index())) return;
   for (const auto& kill : led.scheduler->take_kills()) {
-    // A worker that waits for its reply hears of the kill there; the others by /commands.
+    // If a heartbeat of the worker is deferred, the reply carries the kills; otherwise they are
+    // sent to /commands.
     if (const auto reply = led.take_deferred(kill.machine))
       reply_to_heartbeat(led, kill.machine, kill.commands, reply);
     else
@@ -61,8 +63,9 @@
   }
 }
 
-// The next heartbeat tells what came of the request. A worker that does not answer may be unable to
-// send to us, and then hears of the kill in no other way.
+// The next heartbeat shows the effect of the request. A worker that does not answer may also be
+// unable to send heartbeats to this controller, so the request is its only way to receive the kill
+// and is retried.
 void WorkerCommands::request_kill(const LeadershipTerm& term,
                                   const PartitionScheduler::KillBatch& kill) {
   runtime_.http({kill.addr, "POST", "/commands",
--- a/src/leadership/worker_commands.h
+++ b/src/leadership/worker_commands.h
@@ -1,5 +1,5 @@
-// How commands reach the workers: in the reply to a heartbeat, at once or deferred, or by a request
-// to the worker.
+// Sends commands to workers: in the immediate or deferred reply to a heartbeat, or in a request to
+// the worker.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,19 +9,19 @@
 
 namespace eiderreel {
 
-/// Sends commands of led partitions to their machines.
+/// Sends the commands of led partitions to their machines.
 class WorkerCommands {
  public:
   WorkerCommands(Runtime& runtime, LedPartitions& led, LeadershipCounters& counters)
       : runtime_(runtime), led_(led), counters_(counters) {}
 
-  /// Answers a heartbeat with these commands.
+  /// Answers a heartbeat of the machine with these commands.
   void reply_to_heartbeat(LedPartition& led, const std::string& machine,
                           const std::vector<Command>& commands, const Reply& reply);
-  /// Work has come or room has freed: answers the deferred heartbeats for which there are starts,
-  /// and those that have waited long enough.
+  /// Answers the deferred heartbeats of machines on which tasks can be started, and those whose
+  /// deferral has ended. To be called when work arrives or room is freed.
   void answer_deferred(LedPartition& led);
-  /// Sends the kills that the scheduler has ready.
+  /// Sends the pending kills of the partition's scheduler.
   void send_kills(LedPartition& led);
 
  private:
--- a/src/leadership/worker_liveness.cc
+++ b/src/leadership/worker_liveness.cc
@@ -1,4 +1,4 @@
-// Whether this controller hears any worker at all, or is cut off from them.
+// Detects whether this controller has contact with any worker or is cut off from all of them.
 #include "leadership/worker_liveness.h"
 
 #include <algorithm>
@@ -11,9 +11,9 @@
 
 namespace k = constants;
 
-// Counted by ticks, so that a process which stood still does not take its own absence for the
-// workers'. A node that has heard none for a moment, perhaps since it leads no machines, probes any
-// of all machines.
+// A tick adds at most two tick intervals, so that a process that was paused does not mistake its
+// own pause for silence of the workers. A node that has had no contact for half a heartbeat
+// interval, perhaps because it leads no machines, probes a random machine of the cluster.
 void WorkerLiveness::tick() {
   const Ms now = runtime_.now();
   silent_ms_ += std::min(now - std::exchange(counted_at_, now), 2 * k::kTickMs);
--- a/src/leadership/worker_liveness.h
+++ b/src/leadership/worker_liveness.h
@@ -1,21 +1,23 @@
-// Whether this controller hears any worker at all, or is cut off from them.
+// Detects whether this controller has contact with any worker or is cut off from all of them.
 #pragma once
 #include "config/settings.h"
 #include "state_store/state_store_client.h"
 
 namespace eiderreel {
 
-/// Counts for how long no worker has been heard, and probes one at random when it has been silent.
+/// Measures the time without contact to any worker, and probes a random worker when it grows.
 class WorkerLiveness {
  public:
   WorkerLiveness(Runtime& runtime, const Settings& settings, const StateStoreClient& state_store)
       : runtime_(runtime), settings_(settings), state_store_(state_store) {}
 
-  /// A worker has sent a heartbeat.
+  /// Records contact: a worker has sent a heartbeat or answered a probe.
   void heard() { silent_ms_ = 0; }
-  /// Counts the silence, and probes a worker when it lasts.
+  /// Adds to the time without contact, and probes a worker if it has lasted half a heartbeat
+  /// interval.
   void tick();
-  /// Whether this controller hears workers, as far as it can tell.
+  /// Whether this controller has contact with workers: false once there was none for 5/4 of a
+  /// heartbeat interval plus constants::kWorkerSilenceMs.
   bool hears_workers() const;
 
  private:
