--- a/src/api/job_submission.cc
+++ b/src/api/job_submission.cc
@@ -46,7 +46,7 @@
     return can_run;
   }
   // A build that knows no prerequisites would not wait for them.
-  if (!job.prerequisites.empty() && partition_leader_.has_old_peer())
+  if (!job.prerequisites.empty() && partition_leader_.has_peer_without_prerequisites())
     return tl::make_unexpected(UserError::older_peer);
   return {};
 }
--- a/src/leadership/conversion_rate_limiter.cc
+++ b/src/leadership/conversion_rate_limiter.cc
@@ -11,9 +11,9 @@
 bool ConversionRateLimiter::allows(Ms now) {
   const double elapsed_ms = refilled_at_ == 0 ? 0 : static_cast<double>(now - refilled_at_);
   refilled_at_ = now;
-  const double most = std::max(1.0, changes_per_s_ * k::kConversionBurst);
-  tokens_ = std::min(most, tokens_ + elapsed_ms / 1000 * changes_per_s_);
-  recent_ *= std::exp(-elapsed_ms / k::kConversionRateMs);
+  const double max_tokens = std::max(1.0, changes_per_s_ * k::kConversionBurst);
+  tokens_ = std::min(max_tokens, tokens_ + elapsed_ms / 1000 * changes_per_s_);
+  recent_values_ *= std::exp(-elapsed_ms / k::kConversionRateMs);
   return tokens_ >= 1;
 }
 
--- a/src/leadership/conversion_rate_limiter.h
+++ b/src/leadership/conversion_rate_limiter.h
@@ -20,23 +20,23 @@
   /// Consumes tokens for a commit of `changes` changes that is being sent.
   void take(std::size_t changes) { tokens_ -= static_cast<double>(changes); }
   /// Counts `values` values as durably converted.
-  void converted(std::size_t values) {
+  void add_converted(std::size_t values) {
     converted_ += values;
-    recent_ += static_cast<double>(values);
+    recent_values_ += static_cast<double>(values);
   }
 
   /// The number of values converted since the start of the process.
   std::uint64_t converted() const { return converted_; }
   /// Values converted per second, as an exponentially decaying average with the time constant
   /// constants::kConversionRateMs.
-  double values_per_s() const { return recent_ * 1000.0 / constants::kConversionRateMs; }
+  double values_per_s() const { return recent_values_ * 1000.0 / constants::kConversionRateMs; }
 
  private:
   double changes_per_s_;
   double tokens_ = 0;
   Ms refilled_at_ = 0;
   std::uint64_t converted_ = 0;
-  double recent_ = 0;  // values converted, decayed exponentially with age
+  double recent_values_ = 0;  // values converted, decayed exponentially with age
 };
 
 }  // namespace eiderreel::upgrade
--- a/src/leadership/garbage_collector.cc
+++ b/src/leadership/garbage_collector.cc
@@ -6,14 +6,14 @@
 namespace eiderreel {
 
 std::vector<std::string> GarbageCollector::next_keys(LedPartition& led) {
-  const auto most = static_cast<std::size_t>(settings_.batch());
+  const auto max_keys = static_cast<std::size_t>(settings_.batch());
   std::vector<std::string> keys;
-  while (!led.garbage_keys.empty() && keys.size() < most) {
+  while (!led.garbage_keys.empty() && keys.size() < max_keys) {
     keys.push_back(std::move(led.garbage_keys.back()));
     led.garbage_keys.pop_back();
   }
   if (keys.empty() && led.scheduler->index() == 0)
-    keys = state_store_.replica().orphaned_chunks(most);
+    keys = state_store_.replica().orphaned_chunks(max_keys);
   return keys;
 }
 
@@ -39,7 +39,7 @@
                                   CasOutcome outcome) {
   in_flight_ = false;
   if (outcome == CasOutcome::ok) return;
-  if (LedPartition* led = led_.find(term))
+  if (LedPartition* led = led_partitions_.find(term))
     led->garbage_keys.insert(led->garbage_keys.end(), keys.begin(), keys.end());
 }
 
--- a/src/leadership/garbage_collector.h
+++ b/src/leadership/garbage_collector.h
@@ -15,7 +15,7 @@
 class GarbageCollector {
  public:
   GarbageCollector(const Settings& settings, StateStoreClient& state_store, LedPartitions& led)
-      : settings_(settings), state_store_(state_store), led_(led) {}
+      : settings_(settings), state_store_(state_store), led_partitions_(led) {}
 
   /// Deletes the next keys, at most one transaction of them. Does nothing while an earlier deletion
   /// is in flight.
@@ -28,7 +28,7 @@
 
   const Settings& settings_;
   StateStoreClient& state_store_;
-  LedPartitions& led_;
+  LedPartitions& led_partitions_;
   bool in_flight_ = false;
 };
 
--- a/src/leadership/heartbeat_router.cc
+++ b/src/leadership/heartbeat_router.cc
@@ -27,18 +27,18 @@
   if (!view.ready) return reply(http_status::kServiceUnavailable, "");
   const auto machine = view.machines.find(heartbeat.machine);
   if (machine == view.machines.end()) {
-    if (led_.acting(0)) return assign_(heartbeat, std::move(reply));
+    if (led_partitions_.is_acting_leader(0)) return assign_machine_(heartbeat, std::move(reply));
     return redirect(heartbeat, 0, std::move(reply));
   }
   const int partition = machine->second.record.partition;
   const bool released = partition < 0;  // the machine is being returned to the cloud
   if (released) return reply(http_status::kServiceUnavailable, "");
-  LedPartition* led = led_.find_acting(partition);
+  LedPartition* led = led_partitions_.find_acting(partition);
   if (!led) return redirect(heartbeat, partition, std::move(reply));
-  take_in(*led, heartbeat, std::move(reply));
+  process(*led, heartbeat, std::move(reply));
 }
 
-void HeartbeatRouter::take_in(LedPartition& led, const Heartbeat& heartbeat, Reply reply) {
+void HeartbeatRouter::process(LedPartition& led, const Heartbeat& heartbeat, Reply reply) {
   const std::string& machine = heartbeat.machine;
   // The worker has sent a newer heartbeat, so it no longer waits for the reply to the deferred one.
   if (const auto superseded = led.take_deferred(machine))
@@ -53,10 +53,10 @@
     return commands_.reply_to_heartbeat(led, machine, answer.commands, reply);
   const auto starts = led.scheduler->place_tasks(machine, now);
   answer.commands.insert(answer.commands.end(), starts.begin(), starts.end());
-  const Ms defer = answer.commands.empty() ? led.scheduler->defer_ms(machine) : 0;
-  if (defer > 0) {
+  const Ms deferral = answer.commands.empty() ? led.scheduler->defer_ms(machine) : 0;
+  if (deferral > 0) {
     ++counters_.deferred;
-    led.deferred[machine] = {std::move(reply), now + defer};
+    led.deferred[machine] = {std::move(reply), now + deferral};
     return;
   }
   commands_.reply_to_heartbeat(led, machine, answer.commands, reply);
@@ -90,7 +90,7 @@
 void HeartbeatRouter::release_held() {
   std::vector<HeldHeartbeat> ready;
   for (auto held = held_.begin(); held != held_.end();) {
-    if (leader_silent(held->second.partition) && runtime_.now() < held->second.until) {
+    if (leader_silent(held->second.partition) && runtime_.now() < held->second.hold_until) {
       ++held;
       continue;
     }
--- a/src/leadership/heartbeat_router.h
+++ b/src/leadership/heartbeat_router.h
@@ -21,7 +21,7 @@
  public:
   /// Assigns a machine without a record in the state store to a partition. Called on the cluster
   /// leader only.
-  using Assign = std::function<void(const Heartbeat&, Reply)>;
+  using AssignMachine = std::function<void(const Heartbeat&, Reply)>;
 
   HeartbeatRouter(Runtime& runtime, const Settings& settings, const StateStoreClient& state_store,
                   LedPartitions& led, const PeerDirectory& peers, const PartitionClaims& claims,
@@ -29,13 +29,13 @@
       : runtime_(runtime),
         settings_(settings),
         state_store_(state_store),
-        led_(led),
+        led_partitions_(led),
         peers_(peers),
         claims_(claims),
         commands_(commands),
         counters_(counters) {}
   /// Sets the callback for unknown machines. Must be called once, before the first heartbeat.
-  void start(Assign assign) { assign_ = std::move(assign); }
+  void start(AssignMachine assign_machine) { assign_machine_ = std::move(assign_machine); }
 
   /// Processes a heartbeat. `reply` is called exactly once, immediately or later.
   void receive(const Heartbeat& heartbeat, Reply reply);
@@ -48,11 +48,11 @@
     Heartbeat heartbeat;
     int partition = 0;
     Reply reply;
-    Ms until = 0;
+    Ms hold_until = 0;
   };
 
   void dispatch(const Heartbeat& heartbeat, Reply reply);
-  void take_in(LedPartition& led, const Heartbeat& heartbeat, Reply reply);
+  void process(LedPartition& led, const Heartbeat& heartbeat, Reply reply);
   void redirect(const Heartbeat& heartbeat, int partition, Reply reply);
   void redirect_to_leader(int partition, const Reply& reply) const;
   bool leader_silent(int partition) const;
@@ -60,12 +60,12 @@
   Runtime& runtime_;
   const Settings& settings_;
   const StateStoreClient& state_store_;
-  LedPartitions& led_;
+  LedPartitions& led_partitions_;
   const PeerDirectory& peers_;
   const PartitionClaims& claims_;
   WorkerCommands& commands_;
   LeadershipCounters& counters_;
-  Assign assign_;
+  AssignMachine assign_machine_;
   std::map<std::string, HeldHeartbeat> held_;  // by machine
 };
 
--- a/src/leadership/job_finalizer.cc
+++ b/src/leadership/job_finalizer.cc
@@ -52,7 +52,7 @@
     if (static_cast<int>(swap.writes.size()) < settings_.batch())
       swap.writes.push_back({key, "", false});
     else
-      commit.left_over.push_back(key);
+      commit.remaining_progress_keys.push_back(key);
   }
   return commit;
 }
@@ -67,7 +67,7 @@
                  term.fencing_token);
     return reply(http_status::kOk, codec::job_answer(job, phase));
   }
-  LedPartition* led = led_.find(term);
+  LedPartition* led = led_partitions_.find(term);
   if (JobPersistence* persistence = led ? led->find_persistence(job) : nullptr) {
     persistence->in_flight = false;
     persistence->last_commit_at = runtime_.now();
@@ -86,7 +86,7 @@
   const auto& open_jobs = state_store_.view().jobs;
   std::vector<std::string> due;
   for (const auto& [job, persistence] : led.persistence)
-    if (persistence.cancel_asked && !persistence.in_flight && !led.scheduler->has_job(job) &&
+    if (persistence.cancel_requested && !persistence.in_flight && !led.scheduler->has_job(job) &&
         open_jobs.contains(job) && retry_due(persistence))
       due.push_back(job);
   for (const auto& job : due) commit(led, job, [](int, const std::string&) {});
@@ -121,10 +121,10 @@
 // record.
 std::vector<std::string> JobFinalizer::next_implied_cancellations(LedPartition& led) const {
   const ClusterView& view = state_store_.view();
-  const auto most = static_cast<std::size_t>(std::max(1, settings_.batch() / 2));
+  const auto max_jobs = static_cast<std::size_t>(std::max(1, settings_.batch() / 2));
   std::vector<std::string> jobs;
   for (const auto& job : view.dependencies.all_cancelled()) {
-    if (jobs.size() == most) break;
+    if (jobs.size() == max_jobs) break;
     if (partition_of_job(view, settings_, job) != led.scheduler->index()) continue;
     const JobPersistence& persistence = led.persistence[job];
     const bool never_tried = persistence.last_commit_at == 0;
@@ -137,7 +137,7 @@
                                         const std::vector<std::string>& jobs, CasOutcome outcome) {
   if (outcome == CasOutcome::ok)
     for (const auto& job : jobs) spdlog::info("job cancelled job={} reason=prerequisite", job);
-  LedPartition* led = led_.find(term);
+  LedPartition* led = led_partitions_.find(term);
   if (!led) return;
   for (const auto& job : jobs) {
     JobPersistence* persistence = led->find_persistence(job);
--- a/src/leadership/job_finalizer.h
+++ b/src/leadership/job_finalizer.h
@@ -14,7 +14,7 @@
  public:
   JobFinalizer(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
                LedPartitions& led)
-      : runtime_(runtime), settings_(settings), state_store_(state_store), led_(led) {}
+      : runtime_(runtime), settings_(settings), state_store_(state_store), led_partitions_(led) {}
 
   /// Commits the end of a job: done if all its tasks are done, otherwise cancelled. Replies 200
   /// with the phase once the record is durable, and 503 if the commit is not confirmed or another
@@ -40,7 +40,7 @@
   Runtime& runtime_;
   const Settings& settings_;
   StateStoreClient& state_store_;
-  LedPartitions& led_;
+  LedPartitions& led_partitions_;
 };
 
 }  // namespace eiderreel
--- a/src/leadership/led_partition.h
+++ b/src/leadership/led_partition.h
@@ -24,14 +24,15 @@
 /// The reply to a heartbeat, deferred until there is work for the machine.
 struct DeferredReply {
   Reply reply;
-  Ms until = 0;  ///< steady time at which it is sent at the latest
+  Ms reply_by = 0;  ///< steady time at which it is sent at the latest
 };
 
 /// The commit that ends a job, kept so that a retry sends an identical commit.
 struct FinalCommit {
   JobPhase phase = JobPhase::done;
   CompareAndSwap compare_and_swap;
-  std::vector<std::string> left_over;  ///< progress keys that did not fit into the transaction
+  std::vector<std::string>
+      remaining_progress_keys;  ///< progress keys that did not fit into the transaction
 };
 
 /// What is stored, or being written, about one job.
@@ -39,7 +40,7 @@
   Ms last_commit_at = 0;  ///< steady time of the last attempt; 0: none yet
   bool in_flight = false;
   upgrade::StoredValues progress;
-  bool cancel_asked = false;  ///< by its user, while the job waited for prerequisites
+  bool cancel_requested = false;  ///< by its user, while the job waited for prerequisites
   /// The final commit that was sent and is not proven to have failed: it may have taken effect, or
   /// may still do so.
   std::optional<FinalCommit> final_commit;
@@ -52,7 +53,7 @@
   std::map<std::string, DeferredReply> deferred;      ///< by machine
   std::map<std::string, JobPersistence> persistence;  ///< by job
   std::vector<std::string> garbage_keys;              ///< keys to delete, see GarbageCollector
-  Ms look_for_conversion_at = 0;                      ///< set when a scan found nothing to convert
+  Ms next_conversion_scan_at = 0;                     ///< set when a scan found nothing to convert
 
   /// The partition and the fencing token under which it is led.
   LeadershipTerm term() const { return {scheduler->index(), scheduler->fencing_token()}; }
--- a/src/leadership/led_partitions.h
+++ b/src/leadership/led_partitions.h
@@ -25,15 +25,15 @@
   /// Returns null if this controller does not lead the partition or may not act for it now.
   LedPartition* find_acting(int partition);
   /// Whether this controller leads the partition.
-  bool contains(int partition) const { return led_.contains(partition); }
+  bool contains(int partition) const { return partitions_.contains(partition); }
   /// Whether this controller leads no partition.
-  bool empty() const { return led_.empty(); }
+  bool empty() const { return partitions_.empty(); }
 
   /// Invariant 6: whether the partition is active here and this controller is certain to lead it.
-  bool acting(int partition) const;
+  bool is_acting_leader(int partition) const;
 
   /// Begins a term. This controller must not lead the partition yet.
-  LedPartition& add(int partition) { return led_[partition]; }
+  LedPartition& add(int partition) { return partitions_[partition]; }
   /// Ends a term: deferred heartbeats are answered with 503. Does nothing if this controller does
   /// not lead the partition. `reason` is logged.
   void step_down(int partition, const char* reason);
@@ -44,14 +44,14 @@
   std::vector<std::pair<int, std::uint64_t>> fencing_tokens() const;
 
   /// The partitions in ascending order.
-  Map::iterator begin() { return led_.begin(); }
-  Map::iterator end() { return led_.end(); }
-  Map::const_iterator begin() const { return led_.begin(); }
-  Map::const_iterator end() const { return led_.end(); }
+  Map::iterator begin() { return partitions_.begin(); }
+  Map::iterator end() { return partitions_.end(); }
+  Map::const_iterator begin() const { return partitions_.begin(); }
+  Map::const_iterator end() const { return partitions_.end(); }
 
  private:
   const LeadershipVotes& votes_;
-  Map led_;
+  Map partitions_;
 };
 
 }  // namespace eiderreel
--- a/src/leadership/machine_transfers.cc
+++ b/src/leadership/machine_transfers.cc
@@ -12,7 +12,7 @@
 // All machines are chosen first, then moved in as few transactions as the size limit of the state
 // store allows.
 void MachineTransfers::transfer(const peer_rpc::TransferRequest& request) {
-  LedPartition* led = led_.find_acting(request.partition);
+  LedPartition* led = led_partitions_.find_acting(request.partition);
   if (!led || request.to == request.partition || request.to >= settings_.partition_count) return;
   PartitionScheduler& scheduler = *led->scheduler;
   const LeadershipTerm term = led->term();
@@ -55,12 +55,13 @@
 // second time while they were still running.
 void MachineTransfers::commit(const LeadershipTerm& term, const Machines& machines,
                               CompareAndSwap swap) {
-  CompareAndSwap again = swap;
-  again.doubt = true;
-  swap.done = [this, term, machines, again = std::move(again)](CasOutcome outcome, std::uint64_t) {
-    LedPartition* led = led_.find(term);
+  CompareAndSwap retry_swap = swap;
+  retry_swap.doubt = true;
+  swap.done = [this, term, machines, retry_swap = std::move(retry_swap)](CasOutcome outcome,
+                                                                         std::uint64_t) {
+    LedPartition* led = led_partitions_.find(term);
     if (!led) return;
-    if (outcome == CasOutcome::unknown) return retry(term, machines, again);
+    if (outcome == CasOutcome::unknown) return retry(term, machines, retry_swap);
     for (const auto& machine : machines) led->scheduler->end_transfer(machine);
   };
   state_store_.compare_and_swap(std::move(swap));
@@ -69,8 +70,8 @@
 void MachineTransfers::retry(const LeadershipTerm& term, const Machines& machines,
                              const CompareAndSwap& swap) {
   runtime_.after(k::kRetryMs, [this, term, machines, swap] {
-    if (!led_.find(term)) return;
-    if (led_.acting(term.partition))
+    if (!led_partitions_.find(term)) return;
+    if (led_partitions_.is_acting_leader(term.partition))
       commit(term, machines, swap);
     else
       retry(term, machines, swap);
--- a/src/leadership/machine_transfers.h
+++ b/src/leadership/machine_transfers.h
@@ -16,7 +16,7 @@
  public:
   MachineTransfers(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
                    LedPartitions& led)
-      : runtime_(runtime), settings_(settings), state_store_(state_store), led_(led) {}
+      : runtime_(runtime), settings_(settings), state_store_(state_store), led_partitions_(led) {}
 
   /// Carries out a request of the cluster leader: transfers idle machines of one kind to another
   /// partition, or releases them to the cloud if `to` is negative. Does nothing unless this
@@ -33,7 +33,7 @@
   Runtime& runtime_;
   const Settings& settings_;
   StateStoreClient& state_store_;
-  LedPartitions& led_;
+  LedPartitions& led_partitions_;
 };
 
 }  // namespace eiderreel
--- a/src/leadership/partition_activation.cc
+++ b/src/leadership/partition_activation.cc
@@ -9,7 +9,7 @@
 
 void PartitionActivation::set_types(const std::vector<MachineType>& types) {
   types_ = types;
-  for (auto& [partition, led] : led_) led.scheduler->set_types(types_);
+  for (auto& [partition, led] : led_partitions_) led.scheduler->set_types(types_);
 }
 
 SchedulingPolicy PartitionActivation::scheduling_policy() const {
@@ -19,11 +19,11 @@
 }
 
 void PartitionActivation::activate(const LeadershipTerm& term) {
-  if (led_.contains(term.partition)) return;
+  if (led_partitions_.contains(term.partition)) return;
   ++counters_.claims;
   spdlog::info("partition claimed partition={} fencing_token={} node={}", term.partition,
                term.fencing_token, settings_.node);
-  LedPartition& led = led_.add(term.partition);
+  LedPartition& led = led_partitions_.add(term.partition);
   led.scheduler =
       std::make_unique<PartitionScheduler>(term.partition, term.fencing_token, runtime_.now(),
                                            scheduling_policy(), settings_.teams_of(term.partition));
@@ -34,19 +34,19 @@
 }
 
 void PartitionActivation::load_progress(const LeadershipTerm& term) {
-  if (!led_.find(term)) return;
+  if (!led_partitions_.find(term)) return;
   state_store_.list(codec::done_prefix(term.partition), [this, term](const auto& rows) {
-    LedPartition* led = led_.find(term);
+    LedPartition* led = led_partitions_.find(term);
     if (!led) return;
     if (!rows) {
       runtime_.after(k::kRetryMs, [this, term] { load_progress(term); });
       return;
     }
-    open(*led, take_progress(*led, *rows));
+    complete_activation(*led, parse_progress(*led, *rows));
   });
 }
 
-PartitionActivation::DoneTasks PartitionActivation::take_progress(
+PartitionActivation::DoneTasks PartitionActivation::parse_progress(
     LedPartition& led, const std::vector<codec::StateRow>& rows) const {
   const auto& jobs = state_store_.view().jobs;
   DoneTasks done;
@@ -70,7 +70,7 @@
   return done;
 }
 
-void PartitionActivation::open(LedPartition& led, const DoneTasks& done) {
+void PartitionActivation::complete_activation(LedPartition& led, const DoneTasks& done) {
   const ClusterView& view = state_store_.view();
   const auto [partition, fencing_token] = led.term();
   const Ms now = runtime_.now();
--- a/src/leadership/partition_activation.h
+++ b/src/leadership/partition_activation.h
@@ -21,7 +21,7 @@
       : runtime_(runtime),
         settings_(settings),
         state_store_(state_store),
-        led_(led),
+        led_partitions_(led),
         jobs_(jobs),
         counters_(counters) {}
 
@@ -35,13 +35,13 @@
 
   SchedulingPolicy scheduling_policy() const;
   void load_progress(const LeadershipTerm& term);
-  DoneTasks take_progress(LedPartition& led, const std::vector<codec::StateRow>& rows) const;
-  void open(LedPartition& led, const DoneTasks& done);
+  DoneTasks parse_progress(LedPartition& led, const std::vector<codec::StateRow>& rows) const;
+  void complete_activation(LedPartition& led, const DoneTasks& done);
 
   Runtime& runtime_;
   const Settings& settings_;
   StateStoreClient& state_store_;
-  LedPartitions& led_;
+  LedPartitions& led_partitions_;
   PartitionJobs& jobs_;
   LeadershipCounters& counters_;
   std::vector<MachineType> types_;
--- a/src/leadership/partition_claims.cc
+++ b/src/leadership/partition_claims.cc
@@ -7,13 +7,13 @@
 
 namespace k = constants;
 
-bool PartitionClaims::may_land(int partition) const {
-  return claiming_.contains(partition) || in_doubt_.contains(partition);
+bool PartitionClaims::has_pending_claim(int partition) const {
+  return claims_in_flight_.contains(partition) || claims_in_doubt_.contains(partition);
 }
 
 void PartitionClaims::postpone_until(int partition, Ms until) {
-  Ms& postponed = postponed_until_[partition];
-  postponed = std::max(postponed, until);
+  Ms& postponed_until = postponed_until_[partition];
+  postponed_until = std::max(postponed_until, until);
 }
 
 std::optional<std::string> PartitionClaims::last_leader(int partition) const {
@@ -27,13 +27,13 @@
   if (!view.ready || !state_store_.lease_alive()) return;
   const Ms now = runtime_.now();
   for (int partition = 0; partition < settings_.partition_count; ++partition) {
-    if (view.partitions.contains(partition) || claiming_.contains(partition)) {
+    if (view.partitions.contains(partition) || claims_in_flight_.contains(partition)) {
       vacant_since_.erase(partition);
       continue;
     }
     const Ms since = vacant_since_.emplace(partition, now).first->second;
     if (is_postponed(partition)) continue;
-    if (now - since >= vacancy_before_claim(partition)) claim(partition);
+    if (now - since >= claim_delay(partition)) claim(partition);
   }
 }
 
@@ -49,20 +49,20 @@
 
 // The preferred leader claims first, and nodes in contact with workers claim before those that have
 // lost contact.
-Ms PartitionClaims::vacancy_before_claim(int partition) const {
+Ms PartitionClaims::claim_delay(int partition) const {
   const std::string preferred = settings_.preferred_leader_of(partition);
-  Ms wait = 0;
+  Ms delay = 0;
   if (preferred != settings_.node) {
     const bool preferred_may_claim =
         state_store_.view().nodes.contains(preferred) && !peers_.has_lost_workers(preferred);
-    wait = preferred_may_claim ? k::kClaimPreferredAliveMs : k::kClaimOtherMs;
+    delay = preferred_may_claim ? k::kClaimPreferredAliveMs : k::kClaimOtherMs;
   }
-  if (!workers_.hears_workers()) wait += k::kClaimWorkersLostMs;
-  return wait;
+  if (!workers_.has_worker_contact()) delay += k::kClaimWorkersLostMs;
+  return delay;
 }
 
 void PartitionClaims::claim(int partition) {
-  claiming_.insert(partition);
+  claims_in_flight_.insert(partition);
   const std::uint64_t lease_id = state_store_.lease_id();
   CompareAndSwap swap;
   swap.nonce = state_store_.nonce();
@@ -83,17 +83,17 @@
 // another claim now does not prove whether an earlier unanswered attempt took effect.
 void PartitionClaims::on_claim_result(int partition, std::uint64_t lease_id, CasOutcome outcome,
                                       std::uint64_t revision) {
-  const bool lease_lasts = lease_id == state_store_.lease_id();
-  if (outcome == CasOutcome::ok && lease_lasts) activation_.activate({partition, revision});
-  if ((outcome == CasOutcome::unknown || outcome == CasOutcome::superseded) && lease_lasts)
-    in_doubt_.insert(partition);
+  const bool same_lease = lease_id == state_store_.lease_id();
+  if (outcome == CasOutcome::ok && same_lease) activation_.activate({partition, revision});
+  if ((outcome == CasOutcome::unknown || outcome == CasOutcome::superseded) && same_lease)
+    claims_in_doubt_.insert(partition);
   runtime_.after(outcome == CasOutcome::refused ? k::kOverLimitMs : 0,
-                 [this, partition] { claiming_.erase(partition); });
+                 [this, partition] { claims_in_flight_.erase(partition); });
 }
 
 void PartitionClaims::lease_lost() {
-  in_doubt_.clear();  // a claim bound to an ended lease can no longer take effect
-  led_.step_down_from_all("lease-lost");
+  claims_in_doubt_.clear();  // a claim bound to an ended lease can no longer take effect
+  led_partitions_.step_down_from_all("lease-lost");
 }
 
 void PartitionClaims::partition_changed(int partition) {
@@ -101,7 +101,7 @@
   const auto stored = partitions.find(partition);
   const bool ours = stored != partitions.end() && stored->second.leader == settings_.node;
   if (stored != partitions.end()) last_leader_[partition] = stored->second.leader;
-  LedPartition* led = led_.find(partition);
+  LedPartition* led = led_partitions_.find(partition);
   if (!led) {
     // A claim of this controller has taken effect, possibly one whose outcome was unknown.
     if (ours && stored->second.lease_id == state_store_.lease_id() &&
@@ -110,7 +110,7 @@
     return;
   }
   if (!ours || stored->second.revision != led->scheduler->fencing_token())
-    led_.step_down(partition, "key-changed");
+    led_partitions_.step_down(partition, "key-changed");
 }
 
 }  // namespace eiderreel
--- a/src/leadership/partition_claims.h
+++ b/src/leadership/partition_claims.h
@@ -25,7 +25,7 @@
       : runtime_(runtime),
         settings_(settings),
         state_store_(state_store),
-        led_(led),
+        led_partitions_(led),
         peers_(peers),
         workers_(workers),
         handover_(handover),
@@ -39,7 +39,7 @@
   /// Handles the loss of this controller's lease: steps down from all partitions.
   void lease_lost();
   /// Whether a claim of this controller is in flight, or its outcome is unknown.
-  bool may_land(int partition) const;
+  bool has_pending_claim(int partition) const;
   /// Invariant 6: records the vote of this controller not to claim the partition before this steady
   /// time.
   void postpone_until(int partition, Ms until);
@@ -49,7 +49,7 @@
 
  private:
   bool is_postponed(int partition) const;
-  Ms vacancy_before_claim(int partition) const;
+  Ms claim_delay(int partition) const;
   void claim(int partition);
   void on_claim_result(int partition, std::uint64_t lease_id, CasOutcome outcome,
                        std::uint64_t revision);
@@ -57,7 +57,7 @@
   Runtime& runtime_;
   const Settings& settings_;
   StateStoreClient& state_store_;
-  LedPartitions& led_;
+  LedPartitions& led_partitions_;
   const PeerDirectory& peers_;
   const WorkerLiveness& workers_;
   const PartitionHandover& handover_;
@@ -66,9 +66,8 @@
   std::map<int, Ms> vacant_since_;
   std::map<int, Ms> postponed_until_;
   std::map<int, std::string> last_leader_;
-  std::set<int> claiming_;  // partitions with a claim in flight
-  std::set<int>
-      in_doubt_;  // partitions with a claim that may still take effect while the lease lasts
+  std::set<int> claims_in_flight_;  // partitions with a claim in flight
+  std::set<int> claims_in_doubt_;   // partitions with a claim of unknown outcome under this lease
 };
 
 }  // namespace eiderreel
--- a/src/leadership/partition_handover.cc
+++ b/src/leadership/partition_handover.cc
@@ -27,7 +27,7 @@
 }
 
 void PartitionHandover::fail_back() {
-  for (const auto& [partition, led] : led_) {
+  for (const auto& [partition, led] : led_partitions_) {
     const std::string preferred = settings_.preferred_leader_of(partition);
     if (preferred == settings_.node || !led.active || !may_relinquish()) continue;
     if (!may_fail_back_to(preferred)) continue;
@@ -41,10 +41,11 @@
 // It relinquishes them to a peer that has contact with workers, early enough for the workers to
 // find that peer before their leases expire.
 bool PartitionHandover::relinquish_if_workers_lost() {
-  if (workers_.hears_workers() || !may_relinquish() || !peers_.any_hears_workers()) return false;
+  if (workers_.has_worker_contact() || !may_relinquish() || !peers_.any_has_worker_contact())
+    return false;
   const auto first =
-      std::ranges::find_if(led_, [](const auto& entry) { return entry.second.active; });
-  if (first == led_.end()) return false;
+      std::ranges::find_if(led_partitions_, [](const auto& entry) { return entry.second.active; });
+  if (first == led_partitions_.end()) return false;
   relinquish(first->first, "workers-lost");
   return true;
 }
@@ -53,15 +54,15 @@
 // partition. The controller steps down before the commit is sent, since the commit may take effect
 // without an answer.
 void PartitionHandover::relinquish(int partition, const char* reason) {
-  const LeadershipTerm claim = led_.find(partition)->term();
-  led_.step_down(partition, reason);
+  const LeadershipTerm claim = led_partitions_.find(partition)->term();
+  led_partitions_.step_down(partition, reason);
   ++counters_.failbacks;
   deleting_claims_[partition] = claim.fencing_token;
   delete_claim(claim);
 }
 
-// Until the deletion is committed, the key names this controller as leader although none acts for
-// the partition. Without retries, a refused deletion left the key in place permanently: all
+// Until the deletion is committed, the key names this controller as leader although no node acts
+// for the partition. Without retries, a refused deletion left the key in place permanently: all
 // machines of the partition were redirected back and forth between nodes, and none of its tasks
 // started.
 void PartitionHandover::delete_claim(const LeadershipTerm& claim) {
--- a/src/leadership/partition_handover.h
+++ b/src/leadership/partition_handover.h
@@ -21,7 +21,7 @@
       : runtime_(runtime),
         settings_(settings),
         state_store_(state_store),
-        led_(led),
+        led_partitions_(led),
         peers_(peers),
         workers_(workers),
         counters_(counters) {}
@@ -43,7 +43,7 @@
   Runtime& runtime_;
   const Settings& settings_;
   StateStoreClient& state_store_;
-  LedPartitions& led_;
+  LedPartitions& led_partitions_;
   const PeerDirectory& peers_;
   const WorkerLiveness& workers_;
   LeadershipCounters& counters_;
--- a/src/leadership/partition_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -26,7 +26,7 @@
 // Returns null if this controller does not lead the partition, or has not activated it yet: the
 // activation reads all jobs from the view.
 LedPartition* PartitionJobs::active_partition_of(const JobSpec& spec) {
-  LedPartition* led = led_.find(settings_.partition_of_team(spec.team));
+  LedPartition* led = led_partitions_.find(settings_.partition_of_team(spec.team));
   return led && led->active ? led : nullptr;
 }
 
@@ -48,8 +48,7 @@
 }
 
 // Invariant 11: a job is opened only once the last of its prerequisites is durably done. Until then
-// it is not in the partition's scheduler and counts towards no quota, fair share or demand for
-// machines.
+// it is not in the partition's scheduler and counts towards no quota, fair share or demand.
 void PartitionJobs::job_ready(const std::string& job) {
   const auto& jobs = state_store_.view().jobs;
   const auto entry = jobs.find(job);
@@ -60,7 +59,7 @@
   open(*led, job, {});
   // The user cancelled the job while it waited, and its final record is not committed yet.
   const JobPersistence* persistence = led->find_persistence(job);
-  if (persistence && persistence->cancel_asked) led->scheduler->cancel_job(job);
+  if (persistence && persistence->cancel_requested) led->scheduler->cancel_job(job);
   commands_.answer_deferred(*led);
 }
 
@@ -71,8 +70,8 @@
   const ClusterView& view = state_store_.view();
   const auto& entry = view.jobs.at(job);
   const auto readiness = view.dependencies.readiness(job);
-  const std::uint64_t free_since = readiness ? readiness->revision : entry.revision;
-  const bool predates_claim = free_since < led.scheduler->fencing_token();
+  const std::uint64_t ready_revision = readiness ? readiness->revision : entry.revision;
+  const bool predates_claim = ready_revision < led.scheduler->fencing_token();
   const Ms accepted_at = entry.spec.accepted_at;
   const Ms ready_at = readiness ? readiness->at : accepted_at;
   const bool has_age = predates_claim || readiness.has_value();
@@ -84,7 +83,7 @@
 
 void PartitionJobs::urgency_changed(const std::string& job) {
   const auto urgency = state_store_.view().dependencies.urgency(job);
-  for (auto& [partition, led] : led_) {
+  for (auto& [partition, led] : led_partitions_) {
     if (!led.scheduler->has_job(job)) continue;
     if (!urgency) return led.scheduler->set_urgency(job, Priority::best_effort, std::nullopt);
     std::optional<Ms> finish_by = urgency->finish_by;
@@ -94,12 +93,13 @@
 }
 
 void PartitionJobs::job_closed(const std::string& job) {
-  for (auto& [partition, led] : led_) {
+  for (auto& [partition, led] : led_partitions_) {
     if (const auto found = led.persistence.find(job); found != led.persistence.end()) {
       if (auto& final_commit = found->second.final_commit)
-        led.garbage_keys.insert(led.garbage_keys.end(),
-                                std::make_move_iterator(final_commit->left_over.begin()),
-                                std::make_move_iterator(final_commit->left_over.end()));
+        led.garbage_keys.insert(
+            led.garbage_keys.end(),
+            std::make_move_iterator(final_commit->remaining_progress_keys.begin()),
+            std::make_move_iterator(final_commit->remaining_progress_keys.end()));
       led.persistence.erase(found);
     }
     if (!led.scheduler->has_job(job)) continue;
@@ -112,7 +112,7 @@
 void PartitionJobs::query(const peer_rpc::JobQuery& query, const JobQueryDone& done) {
   const auto partition = partition_of_job(state_store_.view(), settings_, query.job);
   if (!partition) return decline(done, JobQueryError::unknown_job);
-  LedPartition* led = led_.find_acting(*partition);
+  LedPartition* led = led_partitions_.find_acting(*partition);
   if (!led) return decline(done, JobQueryError::not_leader);
   if (state_store_.view().dependencies.waits(query.job)) return query_waiting(*led, query, done);
   const auto status = led->scheduler->status(query.job);
@@ -143,7 +143,7 @@
                               ? codec::job_answer(query.job, JobPhase::cancelled)
                               : codec::job_status(query.job, {JobPhase::cancelled, 0, 0})});
   if (query.cancel) {
-    led.persistence[query.job].cancel_asked = true;
+    led.persistence[query.job].cancel_requested = true;
     return finalizer_.commit(led, query.job, reply_to(done));
   }
   const JobPersistence* persistence = led.find_persistence(query.job);
--- a/src/leadership/partition_jobs.h
+++ b/src/leadership/partition_jobs.h
@@ -22,7 +22,7 @@
       : runtime_(runtime),
         settings_(settings),
         state_store_(state_store),
-        led_(led),
+        led_partitions_(led),
         finalizer_(finalizer),
         commands_(commands) {}
 
@@ -49,7 +49,7 @@
   Runtime& runtime_;
   const Settings& settings_;
   const StateStoreClient& state_store_;
-  LedPartitions& led_;
+  LedPartitions& led_partitions_;
   JobFinalizer& finalizer_;
   WorkerCommands& commands_;
 };
--- a/src/leadership/partition_leader.cc
+++ b/src/leadership/partition_leader.cc
@@ -15,31 +15,33 @@
       settings_(settings),
       state_store_(state_store),
       votes_(runtime, settings, state_store),
-      led_(votes_),
+      led_partitions_(votes_),
       peers_(runtime, settings, state_store),
       workers_(runtime, settings, state_store),
-      commands_(runtime, led_, counters_),
-      finalizer_(runtime, settings, state_store, led_),
-      persistence_(runtime, settings, state_store, led_, finalizer_),
-      jobs_(runtime, settings, state_store, led_, finalizer_, commands_),
-      machines_(runtime, state_store, led_, counters_),
-      transfers_(runtime, settings, state_store, led_),
-      activation_(runtime, settings, state_store, led_, jobs_, counters_),
-      handover_(runtime, settings, state_store, led_, peers_, workers_, counters_),
-      claims_(runtime, settings, state_store, led_, peers_, workers_, handover_, activation_),
-      vote_granter_(runtime, state_store, led_, claims_),
-      router_(runtime, settings, state_store, led_, peers_, claims_, commands_, counters_) {}
+      commands_(runtime, led_partitions_, counters_),
+      finalizer_(runtime, settings, state_store, led_partitions_),
+      persistence_(runtime, settings, state_store, led_partitions_, finalizer_),
+      jobs_(runtime, settings, state_store, led_partitions_, finalizer_, commands_),
+      machines_(runtime, state_store, led_partitions_, counters_),
+      transfers_(runtime, settings, state_store, led_partitions_),
+      activation_(runtime, settings, state_store, led_partitions_, jobs_, counters_),
+      handover_(runtime, settings, state_store, led_partitions_, peers_, workers_, counters_),
+      claims_(runtime, settings, state_store, led_partitions_, peers_, workers_, handover_,
+              activation_),
+      vote_granter_(runtime, state_store, led_partitions_, claims_),
+      router_(runtime, settings, state_store, led_partitions_, peers_, claims_, commands_,
+              counters_) {}
 
 void PartitionLeader::start(Hooks hooks) {
   hooks_ = std::move(hooks);
-  router_.start(hooks_.assign);
+  router_.start(hooks_.assign_machine);
 }
 
 // ------------------------------------------------------------------ requests and messages
 
 void PartitionLeader::heartbeat(const Heartbeat& heartbeat, Reply reply) {
   ++counters_.heartbeats;
-  workers_.heard();
+  workers_.record_contact();
   router_.receive(heartbeat, std::move(reply));
 }
 
@@ -94,22 +96,27 @@
 
 // ------------------------------------------------------------------- state for other modules
 
-bool PartitionLeader::acting(int partition) const { return led_.acting(partition); }
+bool PartitionLeader::is_acting_leader(int partition) const {
+  return led_partitions_.is_acting_leader(partition);
+}
 
 bool PartitionLeader::peer_alive(const std::string& node) const { return peers_.alive(node); }
 
-bool PartitionLeader::has_old_peer() const { return peers_.has_old_peer(); }
+bool PartitionLeader::has_peer_without_prerequisites() const {
+  return peers_.has_peer_without_prerequisites();
+}
 
 std::map<int, PartitionLoad> PartitionLeader::partition_loads() const {
   std::map<int, PartitionLoad> loads = peers_.partition_loads();
-  for (const auto& [partition, led] : led_)
-    if (led_.acting(partition)) loads[partition] = led.scheduler->load(runtime_.now());
+  for (const auto& [partition, led] : led_partitions_)
+    if (led_partitions_.is_acting_leader(partition))
+      loads[partition] = led.scheduler->load(runtime_.now());
   return loads;
 }
 
 std::map<int, const PartitionScheduler*> PartitionLeader::partitions() const {
   std::map<int, const PartitionScheduler*> schedulers;
-  for (const auto& [partition, led] : led_) schedulers[partition] = led.scheduler.get();
+  for (const auto& [partition, led] : led_partitions_) schedulers[partition] = led.scheduler.get();
   return schedulers;
 }
 
@@ -121,12 +128,12 @@
   return peers_.conversion(node);
 }
 
-std::vector<int> PartitionLeader::unheard_partitions() const {
-  const auto heard = partition_loads();
-  std::vector<int> unheard;
+std::vector<int> PartitionLeader::unreported_partitions() const {
+  const auto reported = partition_loads();
+  std::vector<int> unreported;
   for (int partition = 0; partition < settings_.partition_count; ++partition)
-    if (!heard.contains(partition)) unheard.push_back(partition);
-  return unheard;
+    if (!reported.contains(partition)) unreported.push_back(partition);
+  return unreported;
 }
 
 // ----------------------------------------------------------------------------------- ticks
@@ -138,21 +145,22 @@
   // Peers should learn that this controller has lost contact with workers before they see the claim
   // deleted.
   if (handover_.relinquish_if_workers_lost()) status_sent_at_ = 0;
-  if (const auto request = votes_.next_request(led_.fencing_tokens())) hooks_.broadcast(*request);
+  if (const auto request = votes_.next_request(led_partitions_.fencing_tokens()))
+    hooks_.broadcast(*request);
   router_.release_held();
-  for (auto& [partition, led] : led_)
+  for (auto& [partition, led] : led_partitions_)
     if (led.active) tick_partition(led);
   if (runtime_.now() - status_sent_at_ >= k::kStatusEveryMs) broadcast_status();
 }
 
 void PartitionLeader::tick_partition(LedPartition& led) {
   machines_.expire_leases(led);
-  if (!led_.acting(led.scheduler->index())) {
+  if (!led_partitions_.is_acting_leader(led.scheduler->index())) {
     // This controller may not act for the partition at present: it answers the deferred heartbeats
     // with 503 and starts nothing.
     const auto deferred = std::exchange(led.deferred, {});
-    for (const auto& [machine, waiting] : deferred)
-      waiting.reply(http_status::kServiceUnavailable, "");
+    for (const auto& [machine, deferred_reply] : deferred)
+      deferred_reply.reply(http_status::kServiceUnavailable, "");
     return;
   }
   commands_.send_kills(led);
@@ -164,11 +172,11 @@
   const Ms now = runtime_.now();
   status_sent_at_ = now;
   peer_rpc::PeerStatus status;
-  for (const auto& [partition, led] : std::as_const(led_))
-    if (led_.acting(partition))
+  for (const auto& [partition, led] : std::as_const(led_partitions_))
+    if (led_partitions_.is_acting_leader(partition))
       status.partition_loads.emplace_back(partition, led.scheduler->load(now));
   status.use = state_store_.use();
-  status.hears_workers = workers_.hears_workers();
+  status.hears_workers = workers_.has_worker_contact();
   status.features = k::kFeatures;
   status.conversion = conversion();
   hooks_.broadcast(status);
--- a/src/leadership/partition_leader.h
+++ b/src/leadership/partition_leader.h
@@ -37,7 +37,7 @@
   using Counters = LeadershipCounters;
   struct Hooks {
     /// Assigns an unknown machine that has sent a heartbeat. Called on the cluster leader only.
-    HeartbeatRouter::Assign assign;
+    HeartbeatRouter::AssignMachine assign_machine;
     /// Sends a message to every peer.
     std::function<void(const peer_rpc::Body&)> broadcast;
   };
@@ -85,14 +85,14 @@
 
   // --- state for other modules ---
   /// Invariant 6: whether this controller is certain to be the leader of the partition now.
-  bool acting(int partition) const;
+  bool is_acting_leader(int partition) const;
   /// The leader of partition 0 leads the cluster.
-  bool is_cluster_leader() const { return acting(0); }
+  bool is_cluster_leader() const { return is_acting_leader(0); }
   /// Whether the peer's last status is newer than constants::kStatusStaleMs.
   bool peer_alive(const std::string& node) const;
   /// Whether a peer is known to run a build without support for prerequisites. A peer without a
   /// record or a recent status does not count, since it may be down for a long time.
-  bool has_old_peer() const;
+  bool has_peer_without_prerequisites() const;
   /// The latest load of each partition, as led by this controller or reported by peers.
   std::map<int, PartitionLoad> partition_loads() const;
   /// The schedulers of the partitions that this controller leads. The pointers are valid until
@@ -106,7 +106,7 @@
   /// The same for a peer, if it is alive and reports it.
   std::optional<ConversionProgress> peer_conversion(const std::string& node) const;
   /// Partitions whose load is reported neither by this controller nor by a live peer.
-  std::vector<int> unheard_partitions() const;
+  std::vector<int> unreported_partitions() const;
 
  private:
   void tick_partition(LedPartition& led);
@@ -121,7 +121,7 @@
 
   // Each module refers only to modules declared above it.
   LeadershipVotes votes_;
-  LedPartitions led_;
+  LedPartitions led_partitions_;
   PeerDirectory peers_;
   WorkerLiveness workers_;
   WorkerCommands commands_;
--- a/src/leadership/partition_machines.cc
+++ b/src/leadership/partition_machines.cc
@@ -10,7 +10,7 @@
 void PartitionMachines::machine_changed(const std::string& machine) {
   const auto& machines = state_store_.view().machines;
   const auto entry = machines.find(machine);
-  for (auto& [partition, led] : led_) {
+  for (auto& [partition, led] : led_partitions_) {
     if (!led.active) continue;  // the activation reads all machines from the view
     PartitionScheduler& scheduler = *led.scheduler;
     if (entry != machines.end() && entry->second.record.partition == partition) {
@@ -28,7 +28,7 @@
 }
 
 void PartitionMachines::machines_terminated(const std::vector<std::string>& machines) {
-  for (auto& [partition, led] : led_)
+  for (auto& [partition, led] : led_partitions_)
     for (const auto& machine : machines) {
       if (!led.scheduler->has_machine(machine)) continue;
       spdlog::info("machine lost machine={} partition={} proof=cloud", machine, partition);
@@ -37,7 +37,7 @@
 }
 
 void PartitionMachines::cordon(const peer_rpc::CordonRequest& request) {
-  if (LedPartition* led = led_.find_acting(request.partition))
+  if (LedPartition* led = led_partitions_.find_acting(request.partition))
     led->scheduler->cordon(request.cpus, request.drain, runtime_.now());
 }
 
@@ -45,7 +45,7 @@
 // expired lease does not count as a lost machine.
 void PartitionMachines::expire_leases(LedPartition& led) {
   PartitionScheduler& scheduler = *led.scheduler;
-  const bool acting = led_.acting(scheduler.index());
+  const bool acting = led_partitions_.is_acting_leader(scheduler.index());
   for (const auto& machine : scheduler.tick(runtime_.now())) {
     if (!acting) continue;
     ++counters_.lease_expiries;
--- a/src/leadership/partition_machines.h
+++ b/src/leadership/partition_machines.h
@@ -15,7 +15,7 @@
  public:
   PartitionMachines(Runtime& runtime, const StateStoreClient& state_store, LedPartitions& led,
                     LeadershipCounters& counters)
-      : runtime_(runtime), state_store_(state_store), led_(led), counters_(counters) {}
+      : runtime_(runtime), state_store_(state_store), led_partitions_(led), counters_(counters) {}
 
   /// Handles a change of a machine's record in the view.
   void machine_changed(const std::string& machine);
@@ -30,7 +30,7 @@
  private:
   Runtime& runtime_;
   const StateStoreClient& state_store_;
-  LedPartitions& led_;
+  LedPartitions& led_partitions_;
   LeadershipCounters& counters_;
 };
 
--- a/src/leadership/peer_directory.cc
+++ b/src/leadership/peer_directory.cc
@@ -26,20 +26,20 @@
   return peer != peers_.end() && !peer->second.status.hears_workers && is_fresh(peer->second);
 }
 
-bool PeerDirectory::any_hears_workers() const {
+bool PeerDirectory::any_has_worker_contact() const {
   return std::any_of(settings_.peers.begin(), settings_.peers.end(), [&](const Peer& peer) {
     return alive(peer.name) && !has_lost_workers(peer.name) &&
            state_store_.view().nodes.contains(peer.name);
   });
 }
 
-bool PeerDirectory::has_old_peer() const {
+bool PeerDirectory::has_peer_without_prerequisites() const {
   const auto& nodes = state_store_.view().nodes;
   return std::any_of(settings_.peers.begin(), settings_.peers.end(), [&](const Peer& peer) {
     const auto node = nodes.find(peer.name);
-    const auto told = peers_.find(peer.name);
+    const auto peer_entry = peers_.find(peer.name);
     return (node != nodes.end() && node->second.record.features == 0) ||
-           (alive(peer.name) && told->second.status.features == 0);
+           (alive(peer.name) && peer_entry->second.status.features == 0);
   });
 }
 
--- a/src/leadership/peer_directory.h
+++ b/src/leadership/peer_directory.h
@@ -26,10 +26,10 @@
   /// Whether the peer is alive and reports that it has lost contact with workers.
   bool has_lost_workers(const std::string& node) const;
   /// Whether any live peer with a node record in the state store has contact with workers.
-  bool any_hears_workers() const;
+  bool any_has_worker_contact() const;
   /// Whether a peer is known to run a build without support for prerequisites. A peer without a
   /// record or a recent status does not count, since it may be down for a long time.
-  bool has_old_peer() const;
+  bool has_peer_without_prerequisites() const;
   /// The load of each partition for which a live peer is the acting leader.
   std::map<int, PartitionLoad> partition_loads() const;
   /// A live peer's conversion of stored progress, or std::nullopt if the peer does not report it.
--- a/src/leadership/progress_plan.cc
+++ b/src/leadership/progress_plan.cc
@@ -70,7 +70,8 @@
 }
 
 ProgressBatch batch_to_record(const ProgressOfJob& job, const std::vector<std::uint32_t>& tasks,
-                              ProgressForm form, std::size_t most, const std::string& nonce) {
+                              ProgressForm form, std::size_t max_changes,
+                              const std::string& nonce) {
   ProgressBatch batch;
   if (tasks.empty()) return batch;
   if (auto whole = whole_value(job, form, nonce)) {
@@ -82,7 +83,7 @@
   for (const std::uint32_t task : tasks) {
     const TaskRange range = codec::progress_range(task, job.tasks, job.value_bytes);
     if (is_unreadable(job, key_of(job, range))) continue;
-    if (ranges.size() == most && !ranges.contains(range)) break;
+    if (ranges.size() == max_changes && !ranges.contains(range)) break;
     ranges.insert(range);
     batch.recorded.push_back(task);
   }
@@ -90,7 +91,7 @@
   return batch;
 }
 
-ProgressBatch batch_to_convert(const ProgressOfJob& job, ProgressForm to, std::size_t most,
+ProgressBatch batch_to_convert(const ProgressOfJob& job, ProgressForm to, std::size_t max_changes,
                                const std::string& nonce) {
   ProgressBatch batch;
   if (values_to_convert(job.stored, to) == 0) return batch;
@@ -98,12 +99,12 @@
   for (ProgressValue& value : all_values(job, to, nonce)) {
     kept.insert(value.key);
     if (is_stored_as(job.stored, value)) continue;
-    if (batch.writes.size() < most) batch.writes.push_back(std::move(value));
+    if (batch.writes.size() < max_changes) batch.writes.push_back(std::move(value));
   }
   // Deletes come after all writes: the content of a deleted value is then stored in other values,
   // or written by the same commit.
   for (const auto& [key, stored] : job.stored) {
-    if (batch.size() == most) break;
+    if (batch.size() == max_changes) break;
     if (!stored.unreadable && stored.form != to && !kept.contains(key))
       batch.deletes.push_back(key);
   }
--- a/src/leadership/progress_plan.h
+++ b/src/leadership/progress_plan.h
@@ -60,14 +60,14 @@
   std::size_t size() const { return writes.size() + deletes.size(); }
 };
 
-/// Returns at most `most` values that record these tasks. The remaining tasks are left for the next
-/// batch.
+/// Returns at most `max_changes` values that record these tasks. The remaining tasks are left for
+/// the next batch.
 ProgressBatch batch_to_record(const ProgressOfJob& job, const std::vector<std::uint32_t>& tasks,
-                              ProgressForm form, std::size_t most, const std::string& nonce);
+                              ProgressForm form, std::size_t max_changes, const std::string& nonce);
 
-/// Returns the next values to write and to delete, together at most `most`, on the way to a state
-/// in which no readable value is in another form than `to`.
-ProgressBatch batch_to_convert(const ProgressOfJob& job, ProgressForm to, std::size_t most,
+/// Returns the next values to write and to delete, together at most `max_changes`, on the way to a
+/// state in which no readable value is in another form than `to`.
+ProgressBatch batch_to_convert(const ProgressOfJob& job, ProgressForm to, std::size_t max_changes,
                                const std::string& nonce);
 
 /// The number of readable values in another form than `to`.
--- a/src/leadership/progress_recorder.cc
+++ b/src/leadership/progress_recorder.cc
@@ -17,7 +17,7 @@
     : runtime_(runtime),
       settings_(settings),
       state_store_(state_store),
-      led_(led),
+      led_partitions_(led),
       conversion_rate_limiter_(settings.upgrade.conversion_share * settings.state_write_rps /
                                static_cast<double>(settings.peers.size() + 1)) {}
 
@@ -56,7 +56,7 @@
 void ProgressRecorder::convert(LedPartition& led) {
   const auto policy = state_store_.progress_policy();
   if (!state_store_.acting_version().enabled() || !policy.convert_to) return;
-  if (runtime_.now() < led.look_for_conversion_at ||
+  if (runtime_.now() < led.next_conversion_scan_at ||
       !conversion_rate_limiter_.allows(runtime_.now()))
     return;
   for (const auto& [job, persistence] : led.persistence) {
@@ -69,14 +69,14 @@
     return commit(led, job, nonce, std::move(batch), true);
   }
   // Scanning all jobs in every tick would cost more than the conversion itself.
-  led.look_for_conversion_at = runtime_.now() + k::kConversionLookMs;
+  led.next_conversion_scan_at = runtime_.now() + k::kConversionLookMs;
 }
 
 // The revision of each value is a precondition, so a delayed duplicate of an earlier batch cannot
 // undo a later one. The values are encoded in the form of the acting cluster version, and the
 // commit is bound to that version, so they are never committed under another.
 void ProgressRecorder::commit(LedPartition& led, const std::string& job, const std::string& nonce,
-                              upgrade::ProgressBatch batch, bool conversion) {
+                              upgrade::ProgressBatch batch, bool is_conversion) {
   JobPersistence& persistence = led.persistence[job];
   persistence.in_flight = true;
   const auto revision_of = [&](const std::string& key) {
@@ -96,9 +96,10 @@
     swap.preconditions.push_back({key, revision_of(key)});
     swap.writes.push_back({key, "", false});
   }
-  swap.done = [this, term = led.term(), job, batch = std::move(batch), conversion](
+  swap.done = [this, term = led.term(), job, batch = std::move(batch), is_conversion](
                   CasOutcome outcome, std::uint64_t revision) {
-    if (outcome == CasOutcome::ok && conversion) conversion_rate_limiter_.converted(batch.size());
+    if (outcome == CasOutcome::ok && is_conversion)
+      conversion_rate_limiter_.add_converted(batch.size());
     on_committed(term, job, batch, outcome, revision);
   };
   state_store_.compare_and_swap(std::move(swap));
@@ -107,12 +108,12 @@
 void ProgressRecorder::on_committed(const LeadershipTerm& term, const std::string& job,
                                     const upgrade::ProgressBatch& batch, CasOutcome outcome,
                                     std::uint64_t revision) {
-  LedPartition* led = led_.find(term);
+  LedPartition* led = led_partitions_.find(term);
   JobPersistence* persistence = led ? led->find_persistence(job) : nullptr;
   if (!persistence) return;
   persistence->in_flight = false;
   if (outcome == CasOutcome::refused) return;
-  if (outcome != CasOutcome::ok) return read_again(term, job, batch);
+  if (outcome != CasOutcome::ok) return reread_revisions(term, job, batch);
   for (const auto& value : batch.writes)
     persistence->progress[value.key] = {revision, value.form, false};
   for (const auto& key : batch.deletes) persistence->progress.erase(key);
@@ -120,13 +121,13 @@
 }
 
 // It is not known which batch is stored, so the revisions are read before the next one.
-void ProgressRecorder::read_again(const LeadershipTerm& term, const std::string& job,
-                                  const upgrade::ProgressBatch& batch) {
+void ProgressRecorder::reread_revisions(const LeadershipTerm& term, const std::string& job,
+                                        const upgrade::ProgressBatch& batch) {
   std::vector<std::string> keys = batch.deletes;
   for (const auto& value : batch.writes) keys.push_back(value.key);
   for (const auto& key : keys)
     state_store_.read(key, [this, term, job, key](const auto& row) {
-      LedPartition* led = led_.find(term);
+      LedPartition* led = led_partitions_.find(term);
       JobPersistence* persistence = led ? led->find_persistence(job) : nullptr;
       if (!row || !persistence) return;
       if (row->revision == 0)
@@ -142,7 +143,7 @@
   sum.values_converted = conversion_rate_limiter_.converted();
   sum.values_per_s = conversion_rate_limiter_.values_per_s();
   const auto form = state_store_.progress_policy().convert_to;
-  for (const auto& [partition, led] : std::as_const(led_))
+  for (const auto& [partition, led] : std::as_const(led_partitions_))
     for (const auto& [job, persistence] : led.persistence) {
       if (form) sum.values_left += upgrade::values_to_convert(persistence.progress, *form);
       for (const auto& [key, stored] : persistence.progress)
--- a/src/leadership/progress_recorder.h
+++ b/src/leadership/progress_recorder.h
@@ -32,17 +32,17 @@
   static bool is_convertible(const LedPartition& led, const std::string& job,
                              const JobPersistence& persistence, upgrade::ProgressForm form);
   void commit(LedPartition& led, const std::string& job, const std::string& nonce,
-              upgrade::ProgressBatch batch, bool conversion);
+              upgrade::ProgressBatch batch, bool is_conversion);
   void on_committed(const LeadershipTerm& term, const std::string& job,
                     const upgrade::ProgressBatch& batch, CasOutcome outcome,
                     std::uint64_t revision);
-  void read_again(const LeadershipTerm& term, const std::string& job,
-                  const upgrade::ProgressBatch& batch);
+  void reread_revisions(const LeadershipTerm& term, const std::string& job,
+                        const upgrade::ProgressBatch& batch);
 
   Runtime& runtime_;
   const Settings& settings_;
   StateStoreClient& state_store_;
-  LedPartitions& led_;
+  LedPartitions& led_partitions_;
   upgrade::ConversionRateLimiter conversion_rate_limiter_;
 };
 
--- a/src/leadership/vote_granter.cc
+++ b/src/leadership/vote_granter.cc
@@ -32,10 +32,10 @@
   if (!state_store_.view().ready || state_store_.lease_id() == 0 || request.ttl > k::kVoteMs ||
       runtime_.now() - state_store_.last_good() < k::kStateSilentMs)
     return false;
-  return std::all_of(request.partitions.begin(), request.partitions.end(), [&](const auto& asked) {
-    const auto& [partition, revision] = asked;
-    return is_led_by(partition, node, revision) && !claims_.may_land(partition) &&
-           !led_.contains(partition);
+  return std::all_of(request.partitions.begin(), request.partitions.end(), [&](const auto& claim) {
+    const auto& [partition, revision] = claim;
+    return is_led_by(partition, node, revision) && !claims_.has_pending_claim(partition) &&
+           !led_partitions_.contains(partition);
   });
 }
 
--- a/src/leadership/vote_granter.h
+++ b/src/leadership/vote_granter.h
@@ -14,7 +14,7 @@
  public:
   VoteGranter(Runtime& runtime, StateStoreClient& state_store, const LedPartitions& led,
               PartitionClaims& claims)
-      : runtime_(runtime), state_store_(state_store), led_(led), claims_(claims) {}
+      : runtime_(runtime), state_store_(state_store), led_partitions_(led), claims_(claims) {}
 
   /// Returns the vote for a peer; `granted` is false if the vote is refused.
   peer_rpc::Vote vote_on(const std::string& node, const peer_rpc::VoteRequest& request);
@@ -25,7 +25,7 @@
 
   Runtime& runtime_;
   StateStoreClient& state_store_;
-  const LedPartitions& led_;
+  const LedPartitions& led_partitions_;
   PartitionClaims& claims_;
 };
 
--- a/src/leadership/worker_commands.cc
+++ b/src/leadership/worker_commands.cc
@@ -33,16 +33,16 @@
 // by one.
 void WorkerCommands::answer_deferred(LedPartition& led) {
   PartitionScheduler& scheduler = *led.scheduler;
-  if (!led_.acting(scheduler.index())) return;
+  if (!led_partitions_.is_acting_leader(scheduler.index())) return;
   const Ms now = runtime_.now();
   const bool has_waiting = scheduler.has_waiting();
   std::vector<std::string> machines;
-  for (const auto& [machine, waiting] : led.deferred) machines.push_back(machine);
+  for (const auto& [machine, deferred_reply] : led.deferred) machines.push_back(machine);
   if (has_waiting) machines = scheduler.fullest_first(std::move(machines));
   std::vector<std::pair<std::string, std::vector<Command>>> ready;
   for (const auto& machine : machines) {
     auto starts = has_waiting ? scheduler.place_tasks(machine, now) : std::vector<Command>{};
-    if (!starts.empty() || led.deferred.at(machine).until <= now)
+    if (!starts.empty() || led.deferred.at(machine).reply_by <= now)
       ready.emplace_back(machine, std::move(starts));
   }
   for (const auto& [machine, starts] : ready)
@@ -52,7 +52,7 @@
 // Invariant 6: while the controller may not act for the partition, the kills stay queued until it
 // may act again or steps down.
 void WorkerCommands::send_kills(LedPartition& led) {
-  if (!led_.acting(led.scheduler->index())) return;
+  if (!led_partitions_.is_acting_leader(led.scheduler->index())) return;
   for (const auto& kill : led.scheduler->take_kills()) {
     // If a heartbeat of the worker is deferred, the reply carries the kills; otherwise they are
     // sent to /commands.
@@ -78,8 +78,8 @@
 
 void WorkerCommands::retry_kills(const LeadershipTerm& term, const std::string& machine) {
   runtime_.after(k::kRetryMs, [this, term, machine] {
-    LedPartition* led = led_.find(term);
-    if (!led || !led_.acting(term.partition)) return;
+    LedPartition* led = led_partitions_.find(term);
+    if (!led || !led_partitions_.is_acting_leader(term.partition)) return;
     led->scheduler->retry_kills(machine);
     send_kills(*led);
   });
--- a/src/leadership/worker_commands.h
+++ b/src/leadership/worker_commands.h
@@ -13,7 +13,7 @@
 class WorkerCommands {
  public:
   WorkerCommands(Runtime& runtime, LedPartitions& led, LeadershipCounters& counters)
-      : runtime_(runtime), led_(led), counters_(counters) {}
+      : runtime_(runtime), led_partitions_(led), counters_(counters) {}
 
   /// Answers a heartbeat of the machine with these commands.
   void reply_to_heartbeat(LedPartition& led, const std::string& machine,
@@ -29,7 +29,7 @@
   void retry_kills(const LeadershipTerm& term, const std::string& machine);
 
   Runtime& runtime_;
-  LedPartitions& led_;
+  LedPartitions& led_partitions_;
   LeadershipCounters& counters_;
 };
 
--- a/src/leadership/worker_liveness.cc
+++ b/src/leadership/worker_liveness.cc
@@ -16,9 +16,9 @@
 // interval, perhaps because it leads no machines, probes a random machine of the cluster.
 void WorkerLiveness::tick() {
   const Ms now = runtime_.now();
-  silent_ms_ += std::min(now - std::exchange(counted_at_, now), 2 * k::kTickMs);
-  if (state_store_.view().machines.empty()) silent_ms_ = 0;
-  if (silent_ms_ < static_cast<Ms>(settings_.heartbeat_interval_s * 1000 / 2) ||
+  no_contact_ms_ += std::min(now - std::exchange(last_tick_at_, now), 2 * k::kTickMs);
+  if (state_store_.view().machines.empty()) no_contact_ms_ = 0;
+  if (no_contact_ms_ < static_cast<Ms>(settings_.heartbeat_interval_s * 1000 / 2) ||
       now - probed_at_ < k::kProbeEveryMs)
     return;
   probed_at_ = now;
@@ -32,12 +32,12 @@
   const std::string& addr = std::next(machines.begin(), offset)->second.record.addr;
   runtime_.http({addr, "GET", "/inspect", "", k::kCommandTimeoutMs, true},
                 [this](const HttpReply& reply) {
-                  if (reply.status == http_status::kOk) heard();
+                  if (reply.status == http_status::kOk) record_contact();
                 });
 }
 
-bool WorkerLiveness::hears_workers() const {
-  return silent_ms_ <
+bool WorkerLiveness::has_worker_contact() const {
+  return no_contact_ms_ <
          static_cast<Ms>(settings_.heartbeat_interval_s * 1000 * 5 / 4) + k::kWorkerSilenceMs;
 }
 
--- a/src/leadership/worker_liveness.h
+++ b/src/leadership/worker_liveness.h
@@ -12,13 +12,13 @@
       : runtime_(runtime), settings_(settings), state_store_(state_store) {}
 
   /// Records contact: a worker has sent a heartbeat or answered a probe.
-  void heard() { silent_ms_ = 0; }
+  void record_contact() { no_contact_ms_ = 0; }
   /// Adds to the time without contact, and probes a worker if it has lasted half a heartbeat
   /// interval.
   void tick();
   /// Whether this controller has contact with workers: false once there was none for 5/4 of a
   /// heartbeat interval plus constants::kWorkerSilenceMs.
-  bool hears_workers() const;
+  bool has_worker_contact() const;
 
  private:
   void probe_random_worker();
@@ -26,8 +26,8 @@
   Runtime& runtime_;
   const Settings& settings_;
   const StateStoreClient& state_store_;
-  Ms silent_ms_ = 0;
-  Ms counted_at_ = 0;
+  Ms no_contact_ms_ = 0;
+  Ms last_tick_at_ = 0;
   Ms probed_at_ = 0;
 };
 
--- a/src/upgrade/status_report.cc
+++ b/src/upgrade/status_report.cc
@@ -48,7 +48,7 @@
   ConversionReport report;
   const auto& version = state_store_.view().cluster.version;
   if (version) report.to = progress_policy(*version).convert_to;
-  report.unknown_partitions = partition_leader_.unheard_partitions();
+  report.unknown_partitions = partition_leader_.unreported_partitions();
   add(partition_leader_.conversion(), report.sum);
   for (const Peer& peer : settings_.peers)
     add(partition_leader_.peer_conversion(peer.name), report.sum);
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -75,7 +75,7 @@
       for (const char* id : {"run-1", "run-2", "run-3"})
         cluster.submit(cluster.job(id, "blue", 6, 1, 5));
     });
-    cluster.at(at + 3.89, [&] { met += !cluster.node(1)->partition_leader().acting(1); });
+    cluster.at(at + 3.89, [&] { met += !cluster.node(1)->partition_leader().is_acting_leader(1); });
     cluster.run_until(60);
     for (const char* id : {"run-1", "run-2", "run-3"}) EXPECT_EQ(cluster.phase(id), "done");
     expect_rules_kept(cluster, std::to_string(at));
--- a/tests/standin/simulated_cluster_network.cc
+++ b/tests/standin/simulated_cluster_network.cc
@@ -119,7 +119,7 @@
   document.Parse(heartbeat.c_str());
   const std::string machine = document["host"].GetString();
   for (const auto& [partition, core] : node.partition_leader().partitions())
-    if (core->has_machine(machine) && !node.partition_leader().acting(partition))
+    if (core->has_machine(machine) && !node.partition_leader().is_acting_leader(partition))
       checker_.answered_without_lease(now(), node.settings().node + " answers " + machine);
 }
 
