--- a/src/leadership/partition_claims.cc
+++ b/src/leadership/partition_claims.cc
@@ -38,7 +38,8 @@
 }
 
 // Invariant 6: a vote is honoured, also one that an earlier process of this node has given. This
-// process has no record of such a vote, so after its start it waits until any vote has expired.
+// process has no record of such a vote, so after its start it waits until any vote has expired,
+// unless this node led the partition last.
 bool PartitionClaims::is_postponed(int partition) const {
   const Ms now = runtime_.now();
   const auto postponed = postponed_until_.find(partition);
