--- a/src/leadership/garbage_collector.cc
+++ b/src/leadership/garbage_collector.cc
@@ -1,4 +1,4 @@
-// Deleting keys that are of no more use.
+// Deletes keys in the state store that are no longer needed.
 #include "leadership/garbage_collector.h"
 
 #include <utility>
@@ -6,14 +6,14 @@
 namespace eiderreel {
 
 std::vector<std::string> GarbageCollector::next_keys(LedPartition& led) {
-  const auto most = static_cast<std::size_t>(settings_.batch());
+  const auto max_keys = static_cast<std::size_t>(settings_.batch());
   std::vector<std::string> keys;
-  while (!led.garbage_keys.empty() && keys.size() < most) {
+  while (!led.garbage_keys.empty() && keys.size() < max_keys) {
     keys.push_back(std::move(led.garbage_keys.back()));
     led.garbage_keys.pop_back();
   }
   if (keys.empty() && led.scheduler->index() == 0)
-    keys = state_store_.replica().orphaned_chunks(most);
+    keys = state_store_.replica().orphaned_chunks(max_keys);
   return keys;
 }
 
@@ -34,12 +34,12 @@
   state_store_.compare_and_swap(std::move(swap));
 }
 
-// What may still be there is tried again with a later batch.
+// Unless the deletion is proven, the keys are queued again for a later batch.
 void GarbageCollector::on_deleted(const LeadershipTerm& term, const std::vector<std::string>& keys,
                                   CasOutcome outcome) {
   in_flight_ = false;
   if (outcome == CasOutcome::ok) return;
-  if (LedPartition* led = led_.find(term))
+  if (LedPartition* led = led_partitions_.find(term))
     led->garbage_keys.insert(led->garbage_keys.end(), keys.begin(), keys.end());
 }
 
--- a/src/leadership/heartbeat_router.h
+++ b/src/leadership/heartbeat_router.h
@@ -1,4 +1,5 @@
-// Where a heartbeat goes: to a partition led here, or to the node that leads its partition.
+// Routes heartbeats: to a partition that this controller leads, or by redirect to the leader of the
+// machine's partition.
 #pragma once
 #include <functional>
 #include <map>
@@ -14,11 +15,13 @@
 
 namespace eiderreel {
 
-/// Takes in heartbeats of workers. During a failover it holds those that no controller can answer.
+/// Receives the heartbeats of workers. During a failover it holds the heartbeats that no controller
+/// can answer yet.
 class HeartbeatRouter {
  public:
-  /// Assigns a machine that the state store does not know; called on the cluster leader only.
-  using Assign = std::function<void(const Heartbeat&, Reply)>;
+  /// Assigns a machine without a record in the state store to a partition. Called on the cluster
+  /// leader only.
+  using AssignMachine = std::function<void(const Heartbeat&, Reply)>;
 
   HeartbeatRouter(Runtime& runtime, const Settings& settings, const StateStoreClient& state_store,
                   LedPartitions& led, const PeerDirectory& peers, const PartitionClaims& claims,
@@ -26,17 +29,18 @@
       : runtime_(runtime),
         settings_(settings),
         state_store_(state_store),
-        led_(led),
+        led_partitions_(led),
         peers_(peers),
         claims_(claims),
         commands_(commands),
         counters_(counters) {}
-  /// Sets who assigns unknown machines; to be called once.
-  void start(Assign assign) { assign_ = std::move(assign); }
+  /// Sets the callback for unknown machines. Must be called once, before the first heartbeat.
+  void start(AssignMachine assign_machine) { assign_machine_ = std::move(assign_machine); }
 
-  /// Takes a heartbeat in; `reply` is called once, at once or later.
+  /// Processes a heartbeat. `reply` is called exactly once, immediately or later.
   void receive(const Heartbeat& heartbeat, Reply reply);
-  /// Sends on the held heartbeats for which it is now known where they belong.
+  /// Dispatches the held heartbeats whose partition's leader is no longer silent, and redirects
+  /// those whose hold time is over.
   void release_held();
 
  private:
@@ -44,11 +48,11 @@
     Heartbeat heartbeat;
     int partition = 0;
     Reply reply;
-    Ms until = 0;
+    Ms hold_until = 0;
   };
 
   void dispatch(const Heartbeat& heartbeat, Reply reply);
-  void take_in(LedPartition& led, const Heartbeat& heartbeat, Reply reply);
+  void process(LedPartition& led, const Heartbeat& heartbeat, Reply reply);
   void redirect(const Heartbeat& heartbeat, int partition, Reply reply);
   void redirect_to_leader(int partition, const Reply& reply) const;
   bool leader_silent(int partition) const;
@@ -56,12 +60,12 @@
   Runtime& runtime_;
   const Settings& settings_;
   const StateStoreClient& state_store_;
-  LedPartitions& led_;
+  LedPartitions& led_partitions_;
   const PeerDirectory& peers_;
   const PartitionClaims& claims_;
   WorkerCommands& commands_;
   LeadershipCounters& counters_;
-  Assign assign_;
+  AssignMachine assign_machine_;
   std::map<std::string, HeldHeartbeat> held_;  // by machine
 };
 
--- a/src/leadership/partition_activation.cc
+++ b/src/leadership/partition_activation.cc
@@ -1,5 +1,4 @@
-// From a claim that has landed to a partition that is active: its stored progress, machines and
-// jobs are loaded.
+// Activates partitions after their claim is committed: loads stored progress, machines and jobs.
 #include "leadership/partition_activation.h"
 
 #include <spdlog/spdlog.h>
@@ -10,7 +9,7 @@
 
 void PartitionActivation::set_types(const std::vector<MachineType>& types) {
   types_ = types;
-  for (auto& [partition, led] : led_) led.scheduler->set_types(types_);
+  for (auto& [partition, led] : led_partitions_) led.scheduler->set_types(types_);
 }
 
 SchedulingPolicy PartitionActivation::scheduling_policy() const {
@@ -20,41 +19,41 @@
 }
 
 void PartitionActivation::activate(const LeadershipTerm& term) {
-  if (led_.contains(term.partition)) return;
+  if (led_partitions_.contains(term.partition)) return;
   ++counters_.claims;
   spdlog::info("partition claimed partition={} fencing_token={} node={}", term.partition,
                term.fencing_token, settings_.node);
-  LedPartition& led = led_.add(term.partition);
+  LedPartition& led = led_partitions_.add(term.partition);
   led.scheduler =
       std::make_unique<PartitionScheduler>(term.partition, term.fencing_token, runtime_.now(),
                                            scheduling_policy(), settings_.teams_of(term.partition));
   led.scheduler->set_types(types_);
-  // The picture is whole once the view has our claim: nothing of the partition changes after it
-  // without us, but for new jobs and machines, which the view will tell.
+  // The view is complete once it contains this claim: after the claim, nothing in the partition
+  // changes without this leader, except for new jobs and machines, which the view announces.
   state_store_.when_applied(term.fencing_token, [this, term] { load_progress(term); });
 }
 
 void PartitionActivation::load_progress(const LeadershipTerm& term) {
-  if (!led_.find(term)) return;
+  if (!led_partitions_.find(term)) return;
   state_store_.list(codec::done_prefix(term.partition), [this, term](const auto& rows) {
-    LedPartition* led = led_.find(term);
+    LedPartition* led = led_partitions_.find(term);
     if (!led) return;
     if (!rows) {
       runtime_.after(k::kRetryDelayMs, [this, term] { load_progress(term); });
       return;
     }
-    open(*led, take_progress(*led, *rows));
+    complete_activation(*led, parse_progress(*led, *rows));
   });
 }
 
-PartitionActivation::DoneTasks PartitionActivation::take_progress(
+PartitionActivation::DoneTasks PartitionActivation::parse_progress(
     LedPartition& led, const std::vector<codec::StateRow>& rows) const {
   const auto& jobs = state_store_.view().jobs;
   DoneTasks done;
   for (const auto& row : rows) {
     const std::string job = codec::done_key_job(row.key);
-    // Progress is written under a claim: of a job accepted before ours, so one that is not open is
-    // over.
+    // Progress is written only under a claim, so this row was written under an earlier one for a
+    // job accepted before the current claim. If that job is not open, it is final.
     if (!jobs.contains(job)) {
       led.garbage_keys.push_back(row.key);
       continue;
@@ -71,7 +70,7 @@
   return done;
 }
 
-void PartitionActivation::open(LedPartition& led, const DoneTasks& done) {
+void PartitionActivation::complete_activation(LedPartition& led, const DoneTasks& done) {
   const ClusterView& view = state_store_.view();
   const auto [partition, fencing_token] = led.term();
   const Ms now = runtime_.now();
--- a/src/leadership/partition_claims.cc
+++ b/src/leadership/partition_claims.cc
@@ -1,4 +1,4 @@
-// Claiming partitions that have no leader.
+// Claims partitions that have no leader.
 #include "leadership/partition_claims.h"
 
 #include <algorithm>
@@ -7,13 +7,13 @@
 
 namespace k = constants;
 
-bool PartitionClaims::may_land(int partition) const {
-  return claiming_.contains(partition) || in_doubt_.contains(partition);
+bool PartitionClaims::has_pending_claim(int partition) const {
+  return claims_in_flight_.contains(partition) || claims_in_doubt_.contains(partition);
 }
 
 void PartitionClaims::postpone_until(int partition, Ms until) {
-  Ms& postponed = postponed_until_[partition];
-  postponed = std::max(postponed, until);
+  Ms& postponed_until = postponed_until_[partition];
+  postponed_until = std::max(postponed_until, until);
 }
 
 std::optional<std::string> PartitionClaims::last_leader(int partition) const {
@@ -27,17 +27,19 @@
   if (!view.ready || !state_store_.lease_alive()) return;
   const Ms now = runtime_.now();
   for (int partition = 0; partition < settings_.partition_count; ++partition) {
-    if (view.partitions.contains(partition) || claiming_.contains(partition)) {
+    if (view.partitions.contains(partition) || claims_in_flight_.contains(partition)) {
       vacant_since_.erase(partition);
       continue;
     }
     const Ms since = vacant_since_.emplace(partition, now).first->second;
     if (is_postponed(partition)) continue;
-    if (now - since >= vacancy_before_claim(partition)) claim(partition);
+    if (now - since >= claim_delay(partition)) claim(partition);
   }
 }
 
-// Invariant 6: a vote is kept, also one that an earlier process of this node has given.
+// Invariant 6: a vote is honoured, also one that an earlier process of this node has given. This
+// process has no record of such a vote, so after its start it waits until any vote has expired,
+// unless this node led the partition last.
 bool PartitionClaims::is_postponed(int partition) const {
   const Ms now = runtime_.now();
   const auto postponed = postponed_until_.find(partition);
@@ -46,21 +48,22 @@
          now - started_at_ < k::kVoteTtlMs + k::kLeaseMarginMs;
 }
 
-// The preferred leader comes first, and whoever hears workers comes before those that do not.
-Ms PartitionClaims::vacancy_before_claim(int partition) const {
+// The preferred leader claims first, and nodes in contact with workers claim before those that have
+// lost contact.
+Ms PartitionClaims::claim_delay(int partition) const {
   const std::string preferred = settings_.preferred_leader_of(partition);
-  Ms wait = 0;
+  Ms delay = 0;
   if (preferred != settings_.node) {
     const bool preferred_may_claim =
         state_store_.view().nodes.contains(preferred) && !peers_.has_lost_workers(preferred);
-    wait = preferred_may_claim ? k::kClaimDelayPreferredAliveMs : k::kClaimDelayPreferredLostMs;
+    delay = preferred_may_claim ? k::kClaimDelayPreferredAliveMs : k::kClaimDelayPreferredLostMs;
   }
-  if (!workers_.hears_workers()) wait += k::kClaimDelayWorkersLostMs;
-  return wait;
+  if (!workers_.has_worker_contact()) delay += k::kClaimDelayWorkersLostMs;
+  return delay;
 }
 
 void PartitionClaims::claim(int partition) {
-  claiming_.insert(partition);
+  claims_in_flight_.insert(partition);
   const std::uint64_t lease_id = state_store_.lease_id();
   CompareAndSwap swap;
   swap.nonce = state_store_.nonce();
@@ -75,22 +78,23 @@
   state_store_.compare_and_swap(std::move(swap));
 }
 
-// In doubt it may still land: the partition's key will tell, see `partition_changed`. It may also
-// never land, so the partition is claimed again; otherwise it could stay without leader. That
-// another claim stands there now says nothing of an earlier try without answer.
+// A claim with unknown outcome may still take effect, which `partition_changed` detects from the
+// partition's key. It may also never take effect, so the partition is claimed again; otherwise it
+// could remain without a leader. `superseded` is also treated as unknown: that the key holds
+// another claim now does not prove whether an earlier unanswered attempt took effect.
 void PartitionClaims::on_claim_result(int partition, std::uint64_t lease_id, CasOutcome outcome,
                                       std::uint64_t revision) {
-  const bool lease_lasts = lease_id == state_store_.lease_id();
-  if (outcome == CasOutcome::ok && lease_lasts) activation_.activate({partition, revision});
-  if ((outcome == CasOutcome::unknown || outcome == CasOutcome::superseded) && lease_lasts)
-    in_doubt_.insert(partition);
+  const bool same_lease = lease_id == state_store_.lease_id();
+  if (outcome == CasOutcome::ok && same_lease) activation_.activate({partition, revision});
+  if ((outcome == CasOutcome::unknown || outcome == CasOutcome::superseded) && same_lease)
+    claims_in_doubt_.insert(partition);
   runtime_.after(outcome == CasOutcome::refused ? k::kThrottledRetryDelayMs : 0,
-                 [this, partition] { claiming_.erase(partition); });
+                 [this, partition] { claims_in_flight_.erase(partition); });
 }
 
 void PartitionClaims::lease_lost() {
-  in_doubt_.clear();  // what is bound to a lease that is over cannot land any more
-  led_.step_down_from_all("lease-lost");
+  claims_in_doubt_.clear();  // a claim bound to an ended lease can no longer take effect
+  led_partitions_.step_down_from_all("lease-lost");
 }
 
 void PartitionClaims::partition_changed(int partition) {
@@ -98,16 +102,16 @@
   const auto stored = partitions.find(partition);
   const bool ours = stored != partitions.end() && stored->second.leader == settings_.node;
   if (stored != partitions.end()) last_leader_[partition] = stored->second.leader;
-  LedPartition* led = led_.find(partition);
+  LedPartition* led = led_partitions_.find(partition);
   if (!led) {
-    // A claim of ours has landed, perhaps one that was in doubt.
+    // A claim of this controller has taken effect, possibly one whose outcome was unknown.
     if (ours && stored->second.lease_id == state_store_.lease_id() &&
         !handover_.is_deleting(partition, stored->second.revision))
       activation_.activate({partition, stored->second.revision});
     return;
   }
   if (!ours || stored->second.revision != led->scheduler->fencing_token())
-    led_.step_down(partition, "key-changed");
+    led_partitions_.step_down(partition, "key-changed");
 }
 
 }  // namespace eiderreel
--- a/src/leadership/partition_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -1,4 +1,4 @@
-// The jobs of the led partitions: how they open and close, and questions about them.
+// The jobs of the led partitions: opening, closing, status queries and cancellation.
 #include "leadership/partition_jobs.h"
 
 #include <spdlog/spdlog.h>
@@ -16,16 +16,17 @@
 
 void decline(const JobQueryDone& done, JobQueryError error) { done(tl::unexpected(error)); }
 
-// Passes the reply of a final commit on to whoever asked for it.
+// Adapts the callback of a query to the reply of a final commit.
 Reply reply_to(const JobQueryDone& done) {
   return [done](int status, std::string body) { done(HttpReply{status, std::move(body)}); };
 }
 
 }  // namespace
 
-// Null: it is not led here, or its activation will read the view.
+// Returns null if this controller does not lead the partition, or has not activated it yet: the
+// activation reads all jobs from the view.
 LedPartition* PartitionJobs::active_partition_of(const JobSpec& spec) {
-  LedPartition* led = led_.find(settings_.partition_of_team(spec.team));
+  LedPartition* led = led_partitions_.find(settings_.partition_of_team(spec.team));
   return led && led->active ? led : nullptr;
 }
 
@@ -46,8 +47,8 @@
                dependencies.is_cancelled(job));
 }
 
-// Invariant 11: the last of its prerequisites is durably done. Until now the partition knew nothing
-// of the job: it took part in no quota, no fair share, no need of machines.
+// Invariant 11: a job is opened only once the last of its prerequisites is durably done. Until then
+// it is not in the partition's scheduler and counts towards no quota, fair share or demand.
 void PartitionJobs::job_ready(const std::string& job) {
   const auto& jobs = state_store_.view().jobs;
   const auto entry = jobs.find(job);
@@ -56,21 +57,21 @@
   if (!led) return;
   spdlog::info("job ready job={} fencing_token={}", job, led->scheduler->fencing_token());
   open(*led, job, {});
-  // Its user has cancelled it while it waited, and that is still to be recorded.
+  // The user cancelled the job while it waited, and its final record is not committed yet.
   const JobPersistence* persistence = led->find_persistence(job);
-  if (persistence && persistence->cancel_asked) led->scheduler->cancel_job(job);
+  if (persistence && persistence->cancel_requested) led->scheduler->cancel_job(job);
   commands_.answer_deferred(*led);
 }
 
-// A job that became free to start after our claim never had a task under an earlier leader,
-// whenever it was accepted.
+// A job that became ready after this controller's claim never had a task started by an earlier
+// leader, whenever it was accepted.
 void PartitionJobs::open(LedPartition& led, const std::string& job,
                          const std::vector<std::uint32_t>& done) {
   const ClusterView& view = state_store_.view();
   const auto& entry = view.jobs.at(job);
   const auto readiness = view.dependencies.readiness(job);
-  const std::uint64_t free_since = readiness ? readiness->revision : entry.revision;
-  const bool predates_claim = free_since < led.scheduler->fencing_token();
+  const std::uint64_t ready_revision = readiness ? readiness->revision : entry.revision;
+  const bool predates_claim = ready_revision < led.scheduler->fencing_token();
   const Ms accepted_at = entry.spec.accepted_at;
   const Ms ready_at = readiness ? readiness->at : accepted_at;
   const bool has_age = predates_claim || readiness.has_value();
@@ -82,7 +83,7 @@
 
 void PartitionJobs::urgency_changed(const std::string& job) {
   const auto urgency = state_store_.view().dependencies.urgency(job);
-  for (auto& [partition, led] : led_) {
+  for (auto& [partition, led] : led_partitions_) {
     if (!led.scheduler->has_job(job)) continue;
     if (!urgency) return led.scheduler->set_urgency(job, Priority::best_effort, std::nullopt);
     std::optional<Ms> finish_by = urgency->finish_by;
@@ -92,12 +93,13 @@
 }
 
 void PartitionJobs::job_closed(const std::string& job) {
-  for (auto& [partition, led] : led_) {
+  for (auto& [partition, led] : led_partitions_) {
     if (const auto found = led.persistence.find(job); found != led.persistence.end()) {
       if (auto& final_commit = found->second.final_commit)
-        led.garbage_keys.insert(led.garbage_keys.end(),
-                                std::make_move_iterator(final_commit->left_over.begin()),
-                                std::make_move_iterator(final_commit->left_over.end()));
+        led.garbage_keys.insert(
+            led.garbage_keys.end(),
+            std::make_move_iterator(final_commit->remaining_progress_keys.begin()),
+            std::make_move_iterator(final_commit->remaining_progress_keys.end()));
       led.persistence.erase(found);
     }
     if (!led.scheduler->has_job(job)) continue;
@@ -110,30 +112,30 @@
 void PartitionJobs::query(const peer_rpc::JobQuery& query, const JobQueryDone& done) {
   const auto partition = partition_of_job(state_store_.view(), settings_, query.job);
   if (!partition) return decline(done, JobQueryError::unknown_job);
-  LedPartition* led = led_.find_acting(*partition);
+  LedPartition* led = led_partitions_.find_acting(*partition);
   if (!led) return decline(done, JobQueryError::not_leader);
   if (state_store_.view().dependencies.is_blocked(query.job))
     return query_waiting(*led, query, done);
   const auto status = led->scheduler->status(query.job);
   if (!status) return decline(done, JobQueryError::unknown_job);
   if (!query.cancel) {
-    // While a final commit may have landed, a peer may have read it and told its users. What we
-    // hold to be open would then go back on that; the state store alone can tell.
+    // While a final commit may have taken effect, a peer may have read it and reported the job as
+    // final to users. Reporting it as open would contradict that; only the state store can tell.
     const JobPersistence* persistence = led->find_persistence(query.job);
     if (persistence && persistence->final_commit)
       return decline(done, JobQueryError::outcome_in_doubt);
     return done(HttpReply{http_status::kOk, codec::job_status(query.job, *status)});
   }
-  // Its tasks are of no use to anyone from now on. Killed only after the commit, they would go on
-  // for as long as its outcome is in doubt.
+  // The job's tasks are no longer needed. If they were killed only after the commit, they would run
+  // on for as long as its outcome is unknown.
   led->scheduler->cancel_job(query.job);
   commands_.send_kills(*led);
   finalizer_.commit(*led, query.job, reply_to(done));
 }
 
-// Invariant 12: the leader of a waiting job alone tells that it is cancelled by implication, so
-// that nobody tells older news after that, and whoever leads it next knows all that this leader
-// knew.
+// Invariant 12: only the leader of a waiting job's partition reports that the job is cancelled
+// because a prerequisite was cancelled. So no other controller reports an older state afterwards,
+// and the next leader has at least the information of this one.
 void PartitionJobs::query_waiting(LedPartition& led, const peer_rpc::JobQuery& query,
                                   const JobQueryDone& done) {
   if (state_store_.view().dependencies.is_cancelled(query.job))
@@ -142,7 +144,7 @@
                               ? codec::job_answer(query.job, JobPhase::cancelled)
                               : codec::job_status(query.job, {JobPhase::cancelled, 0, 0})});
   if (query.cancel) {
-    led.persistence[query.job].cancel_asked = true;
+    led.persistence[query.job].cancel_requested = true;
     return finalizer_.commit(led, query.job, reply_to(done));
   }
   const JobPersistence* persistence = led.find_persistence(query.job);
--- a/src/leadership/progress_plan.cc
+++ b/src/leadership/progress_plan.cc
@@ -1,4 +1,4 @@
-// Which values hold the progress of an array, and which of them a commit should write.
+// Plans which values store the progress of a job array, and which of them a commit writes.
 #include "leadership/progress_plan.h"
 
 #include <algorithm>
@@ -25,7 +25,8 @@
   return {key_of(job, range), codec::encode_done(done, range, form, nonce), form};
 }
 
-// The one value for all tasks, where the job may have it and it fits.
+// The single value for all tasks, if the form and the job's size allow one and it fits into the
+// largest value of the state store.
 std::optional<ProgressValue> whole_value(const ProgressOfJob& job, ProgressForm form,
                                          const std::string& nonce) {
   const TaskRange first_range = codec::progress_range(0, job.tasks, job.value_bytes);
@@ -37,7 +38,8 @@
   return value;
 }
 
-// The values that together hold all done tasks in this form, as far as they may be written.
+// The values that together hold all done tasks in this form, without those whose stored value is
+// unreadable.
 std::vector<ProgressValue> all_values(const ProgressOfJob& job, ProgressForm form,
                                       const std::string& nonce) {
   if (auto whole = whole_value(job, form, nonce)) return {std::move(*whole)};
@@ -68,7 +70,8 @@
 }
 
 ProgressBatch batch_to_record(const ProgressOfJob& job, const std::vector<std::uint32_t>& tasks,
-                              ProgressForm form, std::size_t most, const std::string& nonce) {
+                              ProgressForm form, std::size_t max_changes,
+                              const std::string& nonce) {
   ProgressBatch batch;
   if (tasks.empty()) return batch;
   if (auto whole = whole_value(job, form, nonce)) {
@@ -80,7 +83,7 @@
   for (const std::uint32_t task : tasks) {
     const TaskRange range = codec::progress_range(task, job.tasks, job.value_bytes);
     if (is_unreadable(job, key_of(job, range))) continue;
-    if (ranges.size() == most && !ranges.contains(range)) break;
+    if (ranges.size() == max_changes && !ranges.contains(range)) break;
     ranges.insert(range);
     batch.recorded.push_back(task);
   }
@@ -88,7 +91,7 @@
   return batch;
 }
 
-ProgressBatch batch_to_convert(const ProgressOfJob& job, ProgressForm to, std::size_t most,
+ProgressBatch batch_to_convert(const ProgressOfJob& job, ProgressForm to, std::size_t max_changes,
                                const std::string& nonce) {
   ProgressBatch batch;
   if (values_to_convert(job.stored, to) == 0) return batch;
@@ -96,12 +99,12 @@
   for (ProgressValue& value : all_values(job, to, nonce)) {
     kept.insert(value.key);
     if (is_stored_as(job.stored, value)) continue;
-    if (batch.writes.size() < most) batch.writes.push_back(std::move(value));
+    if (batch.writes.size() < max_changes) batch.writes.push_back(std::move(value));
   }
-  // What goes is in other values by then, or with the same commit: there is room for it only once
-  // all values are written.
+  // Deletes come after all writes: the content of a deleted value is then stored in other values,
+  // or written by the same commit.
   for (const auto& [key, stored] : job.stored) {
-    if (batch.size() == most) break;
+    if (batch.size() == max_changes) break;
     if (!stored.unreadable && stored.form != to && !kept.contains(key))
       batch.deletes.push_back(key);
   }
--- a/src/leadership/worker_liveness.cc
+++ b/src/leadership/worker_liveness.cc
@@ -1,4 +1,4 @@
-// Whether this controller hears any worker at all, or is cut off from them.
+// Detects whether this controller has contact with any worker or is cut off from all of them.
 #include "leadership/worker_liveness.h"
 
 #include <algorithm>
@@ -11,14 +11,14 @@
 
 namespace k = constants;
 
-// Counted by ticks, so that a process which stood still does not take its own absence for the
-// workers'. A node that has heard none for a moment, perhaps since it leads no machines, probes any
-// of all machines.
+// A tick adds at most two tick intervals, so that a process that was paused does not mistake its
+// own pause for silence of the workers. A node that has had no contact for half a heartbeat
+// interval, perhaps because it leads no machines, probes a random machine of the cluster.
 void WorkerLiveness::tick() {
   const Ms now = runtime_.now();
-  silent_ms_ += std::min(now - std::exchange(counted_at_, now), 2 * k::kTickMs);
-  if (state_store_.view().machines.empty()) silent_ms_ = 0;
-  if (silent_ms_ < static_cast<Ms>(settings_.heartbeat_interval_s * 1000 / 2) ||
+  no_contact_ms_ += std::min(now - std::exchange(last_tick_at_, now), 2 * k::kTickMs);
+  if (state_store_.view().machines.empty()) no_contact_ms_ = 0;
+  if (no_contact_ms_ < static_cast<Ms>(settings_.heartbeat_interval_s * 1000 / 2) ||
       now - probed_at_ < k::kProbeIntervalMs)
     return;
   probed_at_ = now;
@@ -32,12 +32,12 @@
   const std::string& addr = std::next(machines.begin(), offset)->second.record.addr;
   runtime_.http({addr, "GET", "/inspect", "", k::kWorkerRequestTimeoutMs, true},
                 [this](const HttpReply& reply) {
-                  if (reply.status == http_status::kOk) heard();
+                  if (reply.status == http_status::kOk) record_contact();
                 });
 }
 
-bool WorkerLiveness::hears_workers() const {
-  return silent_ms_ <
+bool WorkerLiveness::has_worker_contact() const {
+  return no_contact_ms_ <
          static_cast<Ms>(settings_.heartbeat_interval_s * 1000 * 5 / 4) + k::kWorkerSilenceMarginMs;
 }
 
