--- a/src/leadership/heartbeat_router.cc
+++ b/src/leadership/heartbeat_router.cc
@@ -70,7 +70,7 @@
 
 // A worker that is redirected to a stopped leader waits 4 s for an answer a second time, and its
 // lease expires meanwhile. If the leader is silent, the heartbeat is therefore held until another
-// controller takes over the partition, at most kHoldHeartbeatMs.
+// controller takes over the partition, at most kHeartbeatHoldMs.
 void HeartbeatRouter::redirect(const Heartbeat& heartbeat, int partition, Reply reply) {
   if (!leader_silent(partition)) return redirect_to_leader(partition, reply);
   held_[heartbeat.machine] = {heartbeat, partition, std::move(reply),
--- a/src/leadership/job_finalizer.h
+++ b/src/leadership/job_finalizer.h
@@ -25,7 +25,7 @@
   void commit_cancelled_while_waiting(LedPartition& led);
   /// Commits the final records of jobs that are cancelled because a prerequisite was cancelled.
   void commit_implied_cancellations(LedPartition& led);
-  /// Whether the last attempt is long enough ago (constants::kFinalRetryMs) for another one.
+  /// Whether the last attempt is long enough ago (constants::kFinalCommitRetryMs) for another one.
   bool retry_due(const JobPersistence& persistence) const;
 
  private:
--- a/src/leadership/partition_leader.h
+++ b/src/leadership/partition_leader.h
@@ -88,7 +88,7 @@
   bool is_acting_leader(int partition) const;
   /// The leader of partition 0 leads the cluster.
   bool is_cluster_leader() const { return is_acting_leader(0); }
-  /// Whether the peer's last status is newer than constants::kStatusStaleMs.
+  /// Whether the peer's last status is newer than constants::kPeerStatusTtlMs.
   bool peer_alive(const std::string& node) const;
   /// Whether a peer is known to run a build without support for prerequisites. A peer without a
   /// record or a recent status does not count, since it may be down for a long time.
--- a/src/leadership/peer_directory.h
+++ b/src/leadership/peer_directory.h
@@ -12,7 +12,7 @@
 namespace eiderreel {
 
 /// The latest status of each peer. A peer is alive while its status is newer than
-/// constants::kStatusStaleMs.
+/// constants::kPeerStatusTtlMs.
 class PeerDirectory {
  public:
   PeerDirectory(Runtime& runtime, const Settings& settings, StateStoreClient& state_store)
@@ -21,7 +21,7 @@
   /// Stores the status of a peer and passes its state store usage to the state store client.
   void receive(const std::string& node, const peer_rpc::PeerStatus& status);
 
-  /// Whether the peer's last status is newer than constants::kStatusStaleMs.
+  /// Whether the peer's last status is newer than constants::kPeerStatusTtlMs.
   bool alive(const std::string& node) const;
   /// Whether the peer is alive and reports that it has lost contact with workers.
   bool has_lost_workers(const std::string& node) const;
--- a/src/leadership/worker_liveness.h
+++ b/src/leadership/worker_liveness.h
@@ -17,7 +17,7 @@
   /// interval.
   void tick();
   /// Whether this controller has contact with workers: false once there was none for 5/4 of a
-  /// heartbeat interval plus constants::kWorkerSilenceMs.
+  /// heartbeat interval plus constants::kWorkerSilenceMarginMs.
   bool has_worker_contact() const;
 
  private:
--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -121,7 +121,7 @@
                                                    const Heartbeat& heartbeat, Ms now) const {
   const std::uint64_t fencing_token = machines_.fencing_token_of(machine);
   if (machine.token_announcements++ == 0) machine.first_announced_at = now;
-  // The token was announced twice (`kTokenAnnouncements`), and the heartbeats still lack it:
+  // The token was announced twice (`kMaxTokenAnnouncements`), and the heartbeats still lack it:
   // replies do not reach the worker.
   if (machine.token_announcements > constants::kMaxTokenAnnouncements &&
       now - machine.first_announced_at > constants::kWorkerReplyTimeoutMs)
--- a/src/scheduler/job_queue.h
+++ b/src/scheduler/job_queue.h
@@ -35,7 +35,7 @@
 
   /// Updates the urgency of all jobs and sorts them.
   void sort(Ms now);
-  /// Sorts if the last sort is `kReorderMs` or longer ago.
+  /// Sorts if the last sort is `kQueueSortIntervalMs` or longer ago.
   void sort_if_due(Ms now);
 
   /// The jobs with queued tasks, in order. The list is cached: jobs whose last queued task has been
--- a/src/scheduler/scheduled_job.h
+++ b/src/scheduler/scheduled_job.h
@@ -55,7 +55,7 @@
   std::vector<Ms> target_times;            // when it should be complete, earliest first
   int missed_objectives = 0;               // number of target times that it can no longer meet
   bool has_started = false;                // a task of it has been bound to a machine
-  bool starved = false;  // waited `kStarvedMs` without starting: served first in its priority
+  bool starved = false;  // waited `kStarvationAgeMs` without starting: served first in its priority
   Ms latest_start = 0;   // latest start that meets the earliest reachable target
   Ms waiting_since = 0;  // since when tasks of it have been queued
 
--- a/src/state_store/controller_lease.cc
+++ b/src/state_store/controller_lease.cc
@@ -104,7 +104,7 @@
     valid_until_ = valid_until(sent_at);
   else if (status == http_status::kNotFound)
     handle_loss();
-  else  // retry the renewal after kRetryMs instead of a whole renewal interval
+  else  // retry the renewal after kRetryDelayMs instead of a whole renewal interval
     last_renewal_sent_at_ = runtime_.now() - k::kLeaseRenewIntervalMs + k::kRetryDelayMs;
 }
 
--- a/src/state_store/prerequisite_resolver.cc
+++ b/src/state_store/prerequisite_resolver.cc
@@ -3,8 +3,8 @@
 
 namespace eiderreel {
 
-// The read is delayed by kRetryMs, since a prerequisite may be unresolved only because a change has
-// not been received yet.
+// The read is delayed by kRetryDelayMs, since a prerequisite may be unresolved only because a
+// change has not been received yet.
 void PrerequisiteResolver::tick() {
   const auto& unresolved = replica_.unresolved_prerequisites();
   const Ms now = runtime_.now();
--- a/src/state_store/rate_limiter.cc
+++ b/src/state_store/rate_limiter.cc
@@ -37,8 +37,8 @@
 }
 
 // A peer without a recent status counts as using its whole share. Of the unused shares of the
-// others, this controller borrows the fraction kBorrowedShare, so that two busy controllers do not
-// both borrow all of it.
+// others, this controller borrows the fraction kBorrowableShare, so that two busy controllers do
+// not both borrow all of it.
 void RateLimiter::refill(Ms now) {
   const double seconds = static_cast<double>(now - refilled_at_) / 1000.0;
   refilled_at_ = now;
--- a/src/state_store/store_reader.cc
+++ b/src/state_store/store_reader.cc
@@ -194,7 +194,7 @@
 }
 
 // The reply to any comparison contains the newest revision. The replica reaches it through the
-// watch; if it does not within kStateTimeoutMs, the caller gets an error.
+// watch; if it does not within kStateStoreTimeoutMs, the caller gets an error.
 void StoreReader::catch_up(const StoreCallback<void>& done) {
   auto call_done_once = [done,
                          called = std::make_shared<bool>(false)](const StoreResult<void>& result) {
--- a/src/state_store/store_watcher.cc
+++ b/src/state_store/store_watcher.cc
@@ -106,7 +106,8 @@
   dependencies_.waiters.notify();
 }
 
-// Limits the watch to the share kWatchShare of this node's requests, however often the keys change.
+// Limits the watch to the share kWatchRequestShare of this node's requests, however often the keys
+// change.
 Ms StoreWatcher::watch_interval() const {
   const double watches_per_s =
       dependencies_.rate_limiter.request_share_per_s() * k::kWatchRequestShare;
