--- a/src/upgrade/coordinator.h
+++ b/src/upgrade/coordinator.h
@@ -1,5 +1,6 @@
-// The upgrade coordinator: answers what operators ask about cluster versions, and takes the steps.
-// Every controller has one, and any of them can take a step: what decides is the commit.
+// The upgrade coordinator: answers operators' requests about cluster versions and takes steps
+// between versions. Every controller runs one and can take any step; concurrent steps are resolved
+// by the compare-and-swap commit in the state store.
 #pragma once
 #include <functional>
 #include <memory>
@@ -19,7 +20,7 @@
 
 namespace eiderreel::upgrade {
 
-/// Plans and takes the steps of the cluster version.
+/// Plans and takes steps of the cluster version.
 class Coordinator {
  public:
   Coordinator(Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
@@ -34,35 +35,35 @@
 
   /// Whether this controller takes part in cluster versions.
   bool enabled() const { return settings_.upgrade.enabled; }
-  /// What this controller knows of the cluster's versions.
+  /// The state of the cluster version in this controller's view.
   StatusReport status() const { return status_reporter_.report(step_in_doubt_); }
-  /// What a step would need and do; reads the stored progress where the step depends on it.
+  /// Plans a step without taking it. Reads all stored progress if the step depends on it.
   void plan(const StepRequest& request, std::function<void(StepPlan)> done);
-  /// Takes the step if nothing stands in its way, and calls back with the outcome.
+  /// Takes the step if its plan has no obstacles, and calls back with the outcome.
   void step(const StepOrder& order, std::function<void(StepAnswer)> done);
-  /// The steps that were asked for, in the order of time; nothing: the state store does not tell.
+  /// Reads the history of requested steps, ordered by time; std::nullopt if the read fails.
   void history(StepHistory::ReadDone done) { history_.read(std::move(done)); }
-  /// Takes a step by itself where the operators allow it.
+  /// Takes an automatic step if one is enabled by the settings, possible and due.
   void tick();
 
  private:
-  // A step that was asked for, from the first look at it to its outcome.
-  struct Pending {
+  // A requested step that has no outcome yet.
+  struct StepContext {
     StepOrder order;
     StepPlan plan;
     std::vector<codec::Precondition> preconditions;
     std::function<void(StepAnswer)> done;
   };
-  using PendingStep = std::shared_ptr<Pending>;
+  using PendingStep = std::shared_ptr<StepContext>;
 
   std::vector<codec::Precondition> preconditions() const;
-  StepPlan plan_now(const StepRequest& request) const;
-  bool is_done_already(const StepOrder& order) const;
+  StepPlan plan_without_census(const StepRequest& request) const;
+  bool is_already_taken(const StepOrder& order) const;
   void check_census(const PendingStep& step);
   void commit_step(const PendingStep& step);
-  void committed(const PendingStep& step, CasOutcome outcome);
-  void end(const PendingStep& step, StepOutcome outcome);
-  bool may_step_by_itself() const;
+  void on_commit_outcome(const PendingStep& step, CasOutcome outcome);
+  void finish(const PendingStep& step, StepOutcome outcome);
+  bool may_step_automatically() const;
 
   Runtime& runtime_;
   const Settings& settings_;
@@ -71,9 +72,10 @@
   StatusReporter status_reporter_;
   ProgressCensusTaker census_taker_;
   StepHistory history_;
-  PendingStep in_flight_;                     // null: none
-  std::optional<std::string> step_in_doubt_;  // its request; nothing: the last outcome is known
-  Ms last_automatic_check_ = 0;               // monotonic time
+  PendingStep in_flight_;  // null if no step is in progress
+  std::optional<std::string>
+      step_in_doubt_;            // request id; std::nullopt if the last outcome is known
+  Ms last_automatic_check_ = 0;  // monotonic time
 };
 
 }  // namespace eiderreel::upgrade
--- a/src/upgrade/field_error.h
+++ b/src/upgrade/field_error.h
@@ -1,4 +1,4 @@
-// Why JSON that reached a controller from outside was not read.
+// Validation errors of JSON requests and records.
 #pragma once
 #include <string>
 
@@ -6,9 +6,9 @@
 
 /// The first field that is missing or invalid.
 struct FieldError {
-  std::string field;  // empty: the whole is not a JSON object
+  std::string field;  // empty if the document is not a JSON object
 
-  /// The text for the operator.
+  /// The error text for the operator.
   std::string text() const {
     return field.empty() ? "the body is not a JSON object" : field + ": is missing or invalid";
   }
--- a/src/upgrade/http_routes.cc
+++ b/src/upgrade/http_routes.cc
@@ -1,4 +1,4 @@
-// The table of routes, and the answers as HTTP.
+// Routes of the upgrade API and their HTTP replies.
 #include "upgrade/http_routes.h"
 
 #include <algorithm>
@@ -31,7 +31,7 @@
   return http_status::kGatewayTimeout;
 }
 
-// What a handler works on; the references are valid during the call only.
+// Arguments of a handler. The references are valid only during the call.
 struct Request {
   Coordinator& coordinator;
   const std::string& body;
@@ -52,15 +52,15 @@
       });
 }
 
-// The order in the body; nothing: the request was answered with what is wrong in it.
-std::optional<StepOrder> read_order(const Request& request) {
+// Parses the order in the body. If it is invalid, replies with the error and returns std::nullopt.
+std::optional<StepOrder> parse_order_or_reply(const Request& request) {
   auto parsed = codec::parse_step_order(request.body);
   if (!parsed.order) request.reply(http_status::kBadRequest, codec::error_body(parsed.error));
   return std::move(parsed.order);
 }
 
 void serve_plan(const Request& request) {
-  const auto order = read_order(request);
+  const auto order = parse_order_or_reply(request);
   if (!order) return;
   request.coordinator.plan(order->step, [reply = request.reply](const StepPlan& plan) {
     reply(http_status::kOk, codec::encode(plan));
@@ -68,7 +68,7 @@
 }
 
 void serve_step(const Request& request) {
-  const auto order = read_order(request);
+  const auto order = parse_order_or_reply(request);
   if (!order) return;
   request.coordinator.step(*order, [reply = request.reply](const StepAnswer& answer) {
     reply(http_status_of(answer.outcome), codec::encode(answer));
@@ -76,7 +76,7 @@
 }
 
 struct Route {
-  std::string_view name;  // follows kPrefix
+  std::string_view name;  // path after kPrefix
   const char* method;
   void (*handle)(const Request&);
 };
@@ -95,8 +95,9 @@
     return reply(http_status::kNotFound,
                  codec::error_body("this controller runs without an upgrade file"));
   const std::string_view name = std::string_view(path).substr(kPrefix.size());
-  const auto* const route = std::find_if(kRoutes.begin(), kRoutes.end(),
-                                         [&](const Route& each) { return each.name == name; });
+  const auto* const route =
+      std::find_if(kRoutes.begin(), kRoutes.end(),
+                   [&](const Route& candidate) { return candidate.name == name; });
   if (route == kRoutes.end())
     return reply(http_status::kNotFound, codec::error_body("no such path"));
   if (method != route->method)
--- a/src/upgrade/messages.h
+++ b/src/upgrade/messages.h
@@ -1,4 +1,4 @@
-// What operators ask of a controller about upgrades, and what they are told.
+// Requests and replies of the upgrade API.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,20 +12,20 @@
 
 namespace eiderreel::upgrade {
 
-/// A step that somebody asks for. Who asks names the request, so that its outcome can be looked up.
+/// A request to take a step. The caller chooses its id, by which the outcome can be looked up.
 struct StepOrder {
   StepRequest step;
-  ClusterVersion from = kFirstVersion;  // the version that the asker saw
-  std::string request;                  // its name, chosen by who asks
-  std::string who;
+  ClusterVersion from = kFirstVersion;  // the cluster version that the caller expects
+  std::string request;                  // request id, chosen by the caller
+  std::string who;                      // the operator, or "automatic"
   std::string reason;
 };
 
-/// One line of the history: who asked for what, when, and what came of it.
+/// One history record: a requested step, its requester and its outcome.
 struct StepRecord {
-  Ms at = 0;  // time of day
+  Ms at = 0;  // wall-clock time
   std::string who, reason, request;
-  std::string controller;  // the one that was asked
+  std::string controller;  // the controller that handled the request
   Action action = Action::advance;
   ClusterVersion from = kFirstVersion;
   std::optional<ClusterVersion> to;
@@ -34,30 +34,30 @@
   std::vector<std::string> obstacles;
 };
 
-/// The answer to a step that was asked for.
+/// The reply to a requested step.
 struct StepAnswer {
   StepOutcome outcome = StepOutcome::refused;
   StepPlan plan;
 };
 
-/// What the controllers tell of the conversion, as far as they are heard.
+/// Progress of the conversion, summed over the controllers that this controller has reports from.
 struct ConversionReport {
-  std::optional<ProgressForm> to;  // nothing: no conversion goes on
+  std::optional<ProgressForm> to;  // std::nullopt if no conversion is in progress
   ConversionProgress sum;
-  std::vector<int> unknown_partitions;  // no leader of them is heard
+  std::vector<int> unknown_partitions;  // without a report from a leader
 };
 
-/// What one controller tells of the cluster version.
+/// The state of the cluster version as one controller sees it.
 struct StatusReport {
-  std::string controller;  // who tells
+  std::string controller;  // the reporting controller
   bool enabled = true;
-  std::string standby_reason;  // why it does not act; empty: it does
-  bool current = true;         // it reaches the state store, so what it tells is not old
+  std::string standby_reason;  // why the controller is in standby; empty if it is active
+  bool current = true;  // false if the state store is unreachable and the report may be stale
   ClusterState cluster;
   std::string changed_by, last_request;
-  Ms changed_at = 0;                         // time of day
-  std::optional<std::string> step_in_doubt;  // the request of a step that got no answer
-  std::vector<ControllerFacts> controllers;
+  Ms changed_at = 0;                         // wall-clock time
+  std::optional<std::string> step_in_doubt;  // request id of a step whose outcome is unknown
+  std::vector<ControllerState> controllers;
   ConversionReport conversion;
   bool automatic = false;
   bool in_maintenance_window = false;
--- a/src/upgrade/progress_census_taker.cc
+++ b/src/upgrade/progress_census_taker.cc
@@ -1,4 +1,4 @@
-// Reading and counting of all stored progress.
+// Reads all stored progress values and counts them by form.
 #include "upgrade/progress_census_taker.h"
 
 #include <set>
@@ -7,18 +7,19 @@
 
 namespace eiderreel::upgrade {
 
-// A controller may not know yet of values that it would have to convert, so the state store alone
-// can tell that nothing is left. A job that the view does not have may be new to it. Only a job
-// with a final record is over; its values are left to the garbage collection.
+// The census reads the state store, because a controller's view may lag behind and lack values that
+// still have to be converted. A job that is missing from the view may be new or finished, so the
+// final records of such jobs are read. Values of a job with a final record are not counted; garbage
+// collection deletes them.
 void ProgressCensusTaker::take(Done done) {
   state_store_.list(codec::all_progress_prefix(), [this, done = std::move(done)](auto rows) {
     if (!rows) return done(std::nullopt);
-    std::set<std::string> unknown;
+    std::set<std::string> jobs_not_in_view;
     for (const auto& row : *rows) {
       std::string job = codec::done_key_job(row.key);
-      if (!state_store_.view().jobs.contains(job)) unknown.insert(std::move(job));
+      if (!state_store_.view().jobs.contains(job)) jobs_not_in_view.insert(std::move(job));
     }
-    state_store_.read_ends({unknown.begin(), unknown.end()},
+    state_store_.read_ends({jobs_not_in_view.begin(), jobs_not_in_view.end()},
                            [this, done, rows = std::move(*rows)](const auto& read) {
                              if (!read) return done(std::nullopt);
                              done(count(rows));
--- a/src/upgrade/progress_census_taker.h
+++ b/src/upgrade/progress_census_taker.h
@@ -1,4 +1,4 @@
-// The census of stored progress, which the last step of an upgrade depends on.
+// Census of the stored progress values by form; the final step of an upgrade depends on it.
 #pragma once
 #include <functional>
 #include <optional>
@@ -9,15 +9,15 @@
 
 namespace eiderreel::upgrade {
 
-/// Counts the stored values of progress by their form, over all partitions.
+/// Counts the stored progress values of all partitions by form.
 class ProgressCensusTaker {
  public:
-  /// Nothing: the state store does not tell.
+  /// Receives std::nullopt if the state store could not be read.
   using Done = std::function<void(std::optional<ProgressCensus>)>;
 
   explicit ProgressCensusTaker(StateStoreClient& state_store) : state_store_(state_store) {}
 
-  /// Reads every stored value of progress and calls back with the counts.
+  /// Reads every stored progress value and calls back with the counts.
   void take(Done done);
 
  private:
--- a/src/upgrade/status_report.cc
+++ b/src/upgrade/status_report.cc
@@ -1,4 +1,4 @@
-// Status of an upgrade, from the view and from what peers tell.
+// Builds the upgrade status from the view and from the status messages of peers.
 #include "upgrade/status_report.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace {
 
-void add(const std::optional<ConversionProgress>& progress, ConversionProgress& sum) {
+void add_progress(const std::optional<ConversionProgress>& progress, ConversionProgress& sum) {
   if (!progress) return;
   sum.values_left += progress->values_left;
   sum.values_converted += progress->values_converted;
@@ -21,27 +21,27 @@
 
 }  // namespace
 
-std::vector<ControllerFacts> controller_facts(const ClusterView& view, const Settings& settings) {
+std::vector<ControllerState> controller_states(const ClusterView& view, const Settings& settings) {
   const auto configured = settings.node_names();
   std::set<std::string> names(configured.begin(), configured.end());
   for (const auto& [name, entry] : view.nodes) names.insert(name);
-  std::vector<ControllerFacts> facts;
+  std::vector<ControllerState> states;
   for (const std::string& name : names) {
-    ControllerFacts controller;
+    ControllerState controller;
     controller.name = name;
     controller.configured = std::binary_search(configured.begin(), configured.end(), name);
     if (const auto entry = view.nodes.find(name); entry != view.nodes.end()) {
       controller.record_revision = entry->second.revision;
       controller.versions = entry->second.record.versions;
     }
-    facts.push_back(std::move(controller));
+    states.push_back(std::move(controller));
   }
-  return facts;
+  return states;
 }
 
 bool StatusReporter::is_current() const {
-  const Ms silent_ms = runtime_.now() - state_store_.last_good();
-  return state_store_.view().ready && silent_ms < k::kWatchWaitMs + k::kStateSilentMs;
+  const Ms since_success_ms = runtime_.now() - state_store_.last_good();
+  return state_store_.view().ready && since_success_ms < k::kWatchWaitMs + k::kStateSilentMs;
 }
 
 ConversionReport StatusReporter::conversion() const {
@@ -49,9 +49,9 @@
   const auto& version = state_store_.view().cluster.version;
   if (version) report.to = progress_policy(*version).convert_to;
   report.unknown_partitions = partition_leader_.unheard_partitions();
-  add(partition_leader_.conversion(), report.sum);
+  add_progress(partition_leader_.conversion(), report.sum);
   for (const Peer& peer : settings_.peers)
-    add(partition_leader_.peer_conversion(peer.name), report.sum);
+    add_progress(partition_leader_.peer_conversion(peer.name), report.sum);
   return report;
 }
 
@@ -69,7 +69,7 @@
     report.last_request = view.version_record->request;
   }
   if (step_in_doubt && *step_in_doubt != report.last_request) report.step_in_doubt = step_in_doubt;
-  report.controllers = controller_facts(view, settings_);
+  report.controllers = controller_states(view, settings_);
   report.conversion = conversion();
   report.automatic = settings_.upgrade.automatic;
   report.in_maintenance_window = settings_.upgrade.windows.contains(runtime_.wall());
--- a/src/upgrade/status_report.h
+++ b/src/upgrade/status_report.h
@@ -1,4 +1,4 @@
-// What this controller knows of the cluster's versions. Reads only.
+// Upgrade status in the view of this controller. Read-only.
 #pragma once
 #include <optional>
 #include <string>
@@ -12,10 +12,11 @@
 
 namespace eiderreel::upgrade {
 
-/// All controllers that are configured or have a record, by name.
-std::vector<ControllerFacts> controller_facts(const ClusterView& view, const Settings& settings);
+/// All controllers that are configured or have a record, sorted by name.
+std::vector<ControllerState> controller_states(const ClusterView& view, const Settings& settings);
 
-/// Builds the answer to `upgrade status` from what this controller knows.
+/// Builds the reply to `upgrade status` from this controller's view and its peers' status
+/// messages.
 class StatusReporter {
  public:
   StatusReporter(const Runtime& runtime, const Settings& settings,
@@ -25,7 +26,7 @@
         state_store_(state_store),
         partition_leader_(partition_leader) {}
 
-  /// `step_in_doubt` is the request of the step that got no answer, if there is one.
+  /// `step_in_doubt` is the request id of a step whose outcome is unknown, if there is one.
   StatusReport report(const std::optional<std::string>& step_in_doubt) const;
 
  private:
--- a/src/upgrade/step_history.cc
+++ b/src/upgrade/step_history.cc
@@ -1,4 +1,4 @@
-// Records of steps: their size is bounded, and so is their number.
+// Stores history records, with bounds on their size and their number.
 #include "upgrade/step_history.h"
 
 #include <spdlog/spdlog.h>
@@ -13,8 +13,8 @@
 
 namespace k = constants;
 
-StepRecord StepHistory::record_of(const StepOrder& order, const StepPlan& plan,
-                                  StepOutcome outcome) const {
+StepRecord StepHistory::make_record(const StepOrder& order, const StepPlan& plan,
+                                    StepOutcome outcome) const {
   StepRecord record;
   record.at = runtime_.wall();
   record.who = order.who;
@@ -32,8 +32,8 @@
   return record;
 }
 
-// The record keeps as many of its obstacles as fit into a value.
-codec::Write StepHistory::write_of(StepRecord record, const std::string& nonce) {
+// Drops obstacles from the end of the list until the record fits into a value.
+codec::Write StepHistory::make_write(StepRecord record, const std::string& nonce) {
   std::string value = codec::encode(record, nonce);
   while (value.size() > k::kHistoryRecordBytes && !record.obstacles.empty()) {
     record.obstacles.pop_back();
@@ -46,7 +46,7 @@
   CompareAndSwap commit;
   commit.nonce = state_store_.nonce();
   commit.request_priority = RequestPriority::fleet;
-  commit.writes = {write_of(record, commit.nonce)};
+  commit.writes = {make_write(record, commit.nonce)};
   commit.preconditions = {{commit.writes.front().key, 0}};
   commit.done = [this, request = record.request](CasOutcome outcome, std::uint64_t) {
     if (outcome != CasOutcome::ok) spdlog::warn("version step not recorded request={}", request);
--- a/src/upgrade/step_history.h
+++ b/src/upgrade/step_history.h
@@ -1,4 +1,4 @@
-// The history of steps, kept in the state store.
+// History of requested steps, kept in the state store.
 #pragma once
 #include <functional>
 #include <optional>
@@ -12,24 +12,24 @@
 
 namespace eiderreel::upgrade {
 
-/// Writes, reads and trims the records of steps that were asked for.
+/// Writes, reads and trims the records of requested steps.
 class StepHistory {
  public:
-  /// In the order of time; nothing: the state store does not tell.
+  /// Receives the records ordered by time, or std::nullopt if the state store could not be read.
   using ReadDone = std::function<void(std::optional<std::vector<StepRecord>>)>;
 
   StepHistory(const Runtime& runtime, const Settings& settings, StateStoreClient& state_store)
       : runtime_(runtime), settings_(settings), state_store_(state_store) {}
 
-  /// The record of a step that ends now with this outcome.
-  StepRecord record_of(const StepOrder& order, const StepPlan& plan, StepOutcome outcome) const;
-  /// The write of the record, for a commit with this nonce.
-  static codec::Write write_of(StepRecord record, const std::string& nonce);
-  /// Stores the record in a commit of its own. A failure is logged.
+  /// Builds the record of a step that ends now with `outcome`.
+  StepRecord make_record(const StepOrder& order, const StepPlan& plan, StepOutcome outcome) const;
+  /// Builds the write of the record for a commit with this nonce.
+  static codec::Write make_write(StepRecord record, const std::string& nonce);
+  /// Writes the record in a separate commit. A failure is logged.
   void write(const StepRecord& record);
-  /// Deletes the oldest records beyond those that are kept, as many as one transaction takes.
+  /// Deletes the oldest records beyond the retention limit, at most one transaction's worth.
   void delete_old_records();
-  /// Reads all records; those that cannot be parsed are left out.
+  /// Reads all records, omitting those that cannot be parsed.
   void read(ReadDone done);
 
  private:
--- a/src/upgrade/step_names.cc
+++ b/src/upgrade/step_names.cc
@@ -1,4 +1,4 @@
-// The tables of names, each in the order of its enumeration.
+// Name tables, each in the order of its enumeration.
 #include "upgrade/step_names.h"
 
 #include <algorithm>
--- a/src/upgrade/step_names.h
+++ b/src/upgrade/step_names.h
@@ -1,4 +1,4 @@
-// The steps of the cluster version and their outcomes, with their names on the wire.
+// Actions and outcomes of steps of the cluster version, with their wire names.
 #pragma once
 #include <string>
 #include <tl/expected.hpp>
@@ -7,29 +7,30 @@
 
 namespace eiderreel::upgrade {
 
-/// What an operator can ask for.
+/// The kinds of steps.
 enum class Action {
-  advance,   // one version forward, to one that can be left again
+  advance,   // one version forward, to a reversible version
   abort,     // one version back
-  finalize,  // one version forward, to one that has no way back
+  finalize,  // one version forward, to an irreversible version
 };
 
-/// What came of a step.
+/// The outcome of a step.
 enum class StepOutcome {
-  taken,    // it is durable
-  refused,  // an obstacle stands in its way; nothing was done
-  changed,  // the cluster or a controller changed meanwhile; nothing was done
-  failed,   // the state store refused; nothing was done
-  unknown,  // no answer: it may be done, or may still be
+  taken,    // the new version is durable
+  refused,  // the plan has an obstacle; nothing was changed
+  changed,  // the cluster or a controller changed before the commit; nothing was changed by the
+            // step
+  failed,   // the state store failed or refused the request; nothing was changed
+  unknown,  // the state store did not reply; the commit may have landed or may still land
 };
 
 /// The name of the action in requests and records.
 const char* to_string(Action action);
 /// The name of the outcome in answers and records.
 const char* to_string(StepOutcome outcome);
-/// The value with this name; the error names the field `action`.
+/// Parses an action name; the error names the field `action`.
 tl::expected<Action, FieldError> parse_action(const std::string& text);
-/// The value with this name; the error names the field `outcome`.
+/// Parses an outcome name; the error names the field `outcome`.
 tl::expected<StepOutcome, FieldError> parse_outcome(const std::string& text);
 
 }  // namespace eiderreel::upgrade
--- a/src/upgrade/upgrade_json.cc
+++ b/src/upgrade/upgrade_json.cc
@@ -1,4 +1,4 @@
-// The fields of each message and record, in the order of the wire.
+// The fields of each message and record, in wire order.
 #include "upgrade/upgrade_json.h"
 
 #include <fmt/format.h>
@@ -17,19 +17,19 @@
 using upgrade::ClusterVersion;
 using upgrade::FieldError;
 
-constexpr std::size_t kMaxNameLength = 100;    // characters of a name or a request
-constexpr std::size_t kMaxReasonLength = 300;  // characters of a reason or an obstacle
+constexpr std::size_t kMaxNameChars = 100;    // characters of a name or a request
+constexpr std::size_t kMaxReasonChars = 300;  // characters of a reason or an obstacle
 
-bool get_texts(const Value& object, const char* name, std::vector<std::string>& out) {
+bool get_string_list(const Value& object, const char* name, std::vector<std::string>& out) {
   const Value* list = field(object, name);
   if (!list) return true;
-  auto texts = all_strings(*list);
-  if (!texts) return false;
-  const bool too_long = std::any_of(texts->begin(), texts->end(), [](const std::string& text) {
-    return text.size() > kMaxReasonLength;
+  auto strings = all_strings(*list);
+  if (!strings) return false;
+  const bool too_long = std::any_of(strings->begin(), strings->end(), [](const std::string& text) {
+    return text.size() > kMaxReasonChars;
   });
   if (too_long) return false;
-  out = std::move(*texts);
+  out = std::move(*strings);
   return true;
 }
 
@@ -45,27 +45,27 @@
   return true;
 }
 
-bool get_text(const Value& object, const char* name, std::size_t max_length, std::string& out) {
-  return get(object, name, out) && !out.empty() && out.size() <= max_length;
+bool get_text(const Value& object, const char* name, std::size_t max_chars, std::string& out) {
+  return get(object, name, out) && !out.empty() && out.size() <= max_chars;
 }
 
-tl::unexpected<FieldError> wrong(const char* field) {
+tl::unexpected<FieldError> invalid_field(const char* field) {
   return tl::make_unexpected(FieldError{field});
 }
 
-tl::expected<upgrade::StepOrder, FieldError> read_order(const Value& object) {
+tl::expected<upgrade::StepOrder, FieldError> order_from_json(const Value& object) {
   upgrade::StepOrder order;
   std::string action;
-  if (!get(object, "action", action)) return wrong("action");
-  const auto known = upgrade::parse_action(action);
-  if (!known) return tl::make_unexpected(known.error());
-  order.step.action = *known;
-  if (!get_version(object, "from", order.from)) return wrong("from");
-  if (!get_text(object, "request", kMaxNameLength, order.request)) return wrong("request");
-  if (!get_text(object, "who", kMaxNameLength, order.who)) return wrong("who");
-  if (!get_text(object, "reason", kMaxReasonLength, order.reason)) return wrong("reason");
+  if (!get(object, "action", action)) return invalid_field("action");
+  const auto parsed_action = upgrade::parse_action(action);
+  if (!parsed_action) return tl::make_unexpected(parsed_action.error());
+  order.step.action = *parsed_action;
+  if (!get_version(object, "from", order.from)) return invalid_field("from");
+  if (!get_text(object, "request", kMaxNameChars, order.request)) return invalid_field("request");
+  if (!get_text(object, "who", kMaxNameChars, order.who)) return invalid_field("who");
+  if (!get_text(object, "reason", kMaxReasonChars, order.reason)) return invalid_field("reason");
   std::vector<std::string> without;
-  if (!get_texts(object, "without", without)) return wrong("without");
+  if (!get_string_list(object, "without", without)) return invalid_field("without");
   order.step.without = {without.begin(), without.end()};
   return order;
 }
@@ -85,12 +85,12 @@
               [&](const upgrade::Obstacle& obstacle) { put_obstacle(writer, obstacle); });
 }
 
-const char* state_name(const upgrade::ControllerFacts& controller) {
+const char* state_name(const upgrade::ControllerState& controller) {
   if (!controller.present()) return "away";
   return controller.versions ? "acting" : "earlier-build";
 }
 
-void put_controller(Writer& writer, const upgrade::ControllerFacts& controller) {
+void put_controller(Writer& writer, const upgrade::ControllerState& controller) {
   put(writer, "name", controller.name);
   put(writer, "configured", controller.configured);
   put(writer, "state", std::string(state_name(controller)));
@@ -140,7 +140,7 @@
 ParsedStepOrder parse_step_order(const std::string& body) {
   Doc document;
   if (!parse(document, body)) return {std::nullopt, FieldError{}.text()};
-  auto order = read_order(document);
+  auto order = order_from_json(document);
   if (!order) return {std::nullopt, order.error().text()};
   return {std::move(*order), ""};
 }
@@ -182,7 +182,7 @@
     put(writer, "in_maintenance_window", report.in_maintenance_window);
     put_objects(
         writer, "controllers", report.controllers,
-        [&](const upgrade::ControllerFacts& controller) { put_controller(writer, controller); });
+        [&](const upgrade::ControllerState& controller) { put_controller(writer, controller); });
     put_conversion(writer, report.conversion);
   });
 }
@@ -205,27 +205,27 @@
   if (!parse(document, value)) return tl::make_unexpected(FieldError{});
   upgrade::StepRecord record;
   std::uint64_t at_ms = 0;
-  if (!get(document, "at_ms", at_ms)) return wrong("at_ms");
-  if (!get(document, "who", record.who)) return wrong("who");
+  if (!get(document, "at_ms", at_ms)) return invalid_field("at_ms");
+  if (!get(document, "who", record.who)) return invalid_field("who");
   std::string action;
-  if (!get(document, "action", action)) return wrong("action");
-  if (!get_version(document, "from", record.from)) return wrong("from");
+  if (!get(document, "action", action)) return invalid_field("action");
+  if (!get_version(document, "from", record.from)) return invalid_field("from");
   std::string outcome;
-  if (!get(document, "outcome", outcome)) return wrong("outcome");
-  const auto known_action = upgrade::parse_action(action);
-  if (!known_action) return tl::make_unexpected(known_action.error());
-  const auto known_outcome = upgrade::parse_outcome(outcome);
-  if (!known_outcome) return tl::make_unexpected(known_outcome.error());
+  if (!get(document, "outcome", outcome)) return invalid_field("outcome");
+  const auto parsed_action = upgrade::parse_action(action);
+  if (!parsed_action) return tl::make_unexpected(parsed_action.error());
+  const auto parsed_outcome = upgrade::parse_outcome(outcome);
+  if (!parsed_outcome) return tl::make_unexpected(parsed_outcome.error());
   record.at = static_cast<Ms>(at_ms);
-  record.action = *known_action;
-  record.outcome = *known_outcome;
+  record.action = *parsed_action;
+  record.outcome = *parsed_outcome;
   auto to = upgrade::kFirstVersion;
   if (get_version(document, "to", to)) record.to = to;
   get(document, "reason", record.reason);
   get(document, "request", record.request);
   get(document, "controller", record.controller);
-  get_texts(document, "without", record.without);
-  get_texts(document, "obstacles", record.obstacles);
+  get_string_list(document, "without", record.without);
+  get_string_list(document, "obstacles", record.obstacles);
   return record;
 }
 
--- a/src/upgrade/upgrade_json.h
+++ b/src/upgrade/upgrade_json.h
@@ -1,4 +1,4 @@
-// JSON of the operators' requests about upgrades, their answers, and the history kept of them.
+// JSON encoding of the upgrade API's requests and replies, and of the step history.
 #pragma once
 #include <optional>
 #include <string>
@@ -9,32 +9,32 @@
 
 namespace eiderreel::codec {
 
-/// An order as it was read, or what is wrong with it.
+/// The parsed order, or the error.
 struct ParsedStepOrder {
   std::optional<upgrade::StepOrder> order;
-  std::string error;  // for the operator; names the field that is wrong
+  std::string error;  // for the operator; names the invalid field
 };
-/// Reads the body of a request to plan or take a step.
+/// Parses the body of a request to plan or take a step.
 ParsedStepOrder parse_step_order(const std::string& body);
-/// The body of such a request.
+/// Encodes the body of a request to plan or take a step.
 std::string encode(const upgrade::StepOrder& order);
 
-/// The bodies of the answers.
+/// Encodes the reply to a request to plan a step.
 std::string encode(const upgrade::StepPlan& plan);
-/// The outcome of a step, with its plan.
+/// Encodes the reply to a request to take a step: the outcome and the plan.
 std::string encode(const upgrade::StepAnswer& answer);
-/// The answer to `upgrade status`.
+/// Encodes the reply to `upgrade status`.
 std::string encode(const upgrade::StatusReport& report);
 
-/// The history in the state store: one key for each record, in the order of time.
+/// Key prefix of the history in the state store; each record has its own key.
 std::string history_prefix();
-/// The key of a record; keys sort by time.
+/// The key of a history record; keys sort by time.
 std::string history_key(Ms at, const std::string& nonce);
-/// The value of a record, with the nonce of the commit that writes it.
+/// Encodes a history record with the nonce of the commit that writes it.
 std::string encode(const upgrade::StepRecord& record, const std::string& nonce);
-/// Reads such a value; the error names the first field that is missing or invalid.
+/// Parses a stored history record; the error names the first field that is missing or invalid.
 tl::expected<upgrade::StepRecord, upgrade::FieldError> parse_step_record(const std::string& value);
-/// The answer to a question for the history, `records` in the order of time.
+/// Encodes the reply to `upgrade history`; `records` are ordered by time.
 std::string encode(const std::vector<upgrade::StepRecord>& records);
 
 }  // namespace eiderreel::codec
--- a/src/versioning/cluster_version.cc
+++ b/src/versioning/cluster_version.cc
@@ -19,19 +19,20 @@
     GateRow{Gate::convert_to_bits_progress, {ClusterVersion::base, ClusterVersion::base}},
 };
 
-struct NotesRow {
+struct VersionInfoRow {
   ClusterVersion version{};
-  VersionNotes notes;
+  VersionInfo info;
 };
 
-constexpr std::array kNotes = {
-    NotesRow{ClusterVersion::base,
-             {"progress is written as bits, and compact progress is rewritten as bits"}},
-    NotesRow{ClusterVersion::write_compact,
-             {"progress is written in the compact form; both are read"}},
-    NotesRow{ClusterVersion::convert, {"progress stored as bits is rewritten in the compact form"}},
-    NotesRow{ClusterVersion::compact_only,
-             {"the upgrade is final: earlier builds cannot come back", true, false}},
+constexpr std::array kVersionInfos = {
+    VersionInfoRow{ClusterVersion::base,
+                   {"progress is written as bits, and compact progress is rewritten as bits"}},
+    VersionInfoRow{ClusterVersion::write_compact,
+                   {"progress is written in the compact form; both are read"}},
+    VersionInfoRow{ClusterVersion::convert,
+                   {"progress stored as bits is rewritten in the compact form"}},
+    VersionInfoRow{ClusterVersion::compact_only,
+                   {"the upgrade is final: earlier builds cannot come back", true, false}},
 };
 
 }  // namespace
@@ -57,12 +58,12 @@
   return policy;
 }
 
-std::optional<VersionNotes> notes(ClusterVersion version) {
+std::optional<VersionInfo> version_info(ClusterVersion version) {
   const auto* const row =
-      std::find_if(kNotes.begin(), kNotes.end(),
-                   [&](const NotesRow& candidate) { return candidate.version == version; });
-  if (row == kNotes.end()) return std::nullopt;
-  return row->notes;
+      std::find_if(kVersionInfos.begin(), kVersionInfos.end(),
+                   [&](const VersionInfoRow& candidate) { return candidate.version == version; });
+  if (row == kVersionInfos.end()) return std::nullopt;
+  return row->info;
 }
 
 }  // namespace eiderreel::upgrade
--- a/src/versioning/cluster_version.h
+++ b/src/versioning/cluster_version.h
@@ -77,12 +77,12 @@
 ProgressPolicy progress_policy(ClusterVersion version);
 
 /// What an operator should know about a version before the cluster enters it.
-struct VersionNotes {
+struct VersionInfo {
   const char* effect = "";
   bool needs_conversion = false;  ///< No progress in the bits form may be left.
   bool reversible = true;         ///< The cluster may go back from it.
 };
 /// The notes on a version; nothing if this build does not know it.
-std::optional<VersionNotes> notes(ClusterVersion version);
+std::optional<VersionInfo> version_info(ClusterVersion version);
 
 }  // namespace eiderreel::upgrade
--- a/tests/upgrade/plan_test.cc
+++ b/tests/upgrade/plan_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-ControllerFacts acting(const std::string& name, ClusterVersion version, VersionRange range = {}) {
+ControllerState acting(const std::string& name, ClusterVersion version, VersionRange range = {}) {
   return {name, true, 7, BuildVersions{range, version, "test"}};
 }
 
@@ -31,8 +31,8 @@
 }
 
 TEST(StepPlan, NamesEachBlockingController) {
-  const ControllerFacts away{"n1", true, 0, std::nullopt};
-  const ControllerFacts earlier{"n2", true, 7, std::nullopt};
+  const ControllerState away{"n1", true, 0, std::nullopt};
+  const ControllerState earlier{"n2", true, 7, std::nullopt};
   const auto plan = plan_step({Action::advance, {}}, at(ClusterVersion::write_compact),
                               {acting("n0", ClusterVersion::write_compact), away, earlier,
                                acting("n3", ClusterVersion::base),
@@ -44,8 +44,8 @@
 }
 
 TEST(StepPlan, ExcludesOnlyAbsentConfiguredControllers) {
-  const ControllerFacts away{"n1", true, 0, std::nullopt};
-  const std::vector<ControllerFacts> controllers = {acting("n0", ClusterVersion::base), away};
+  const ControllerState away{"n1", true, 0, std::nullopt};
+  const std::vector<ControllerState> controllers = {acting("n0", ClusterVersion::base), away};
   EXPECT_TRUE(
       plan_step({Action::advance, {"n1"}}, at(ClusterVersion::base), controllers).possible());
   EXPECT_TRUE(names(
@@ -55,7 +55,7 @@
 }
 
 TEST(StepPlan, AbortsDuringAStepAndWithoutAbsentControllers) {
-  const ControllerFacts away{"n2", true, 0, std::nullopt};
+  const ControllerState away{"n2", true, 0, std::nullopt};
   EXPECT_TRUE(plan_step({Action::abort, {}}, at(ClusterVersion::convert),
                         {acting("n0", ClusterVersion::convert),
                          acting("n1", ClusterVersion::write_compact), away})
@@ -68,7 +68,7 @@
 }
 
 TEST(StepPlan, HasNoStepBeyondTheFirstAndLastVersions) {
-  const std::vector<ControllerFacts> none;
+  const std::vector<ControllerState> none;
   EXPECT_FALSE(plan_step({Action::abort, {}}, at(ClusterVersion::base), none).to);
   EXPECT_FALSE(plan_step({Action::abort, {}}, at(ClusterVersion::compact_only), none).to);
   EXPECT_FALSE(plan_step({Action::advance, {}}, at(ClusterVersion::compact_only), none).to);
@@ -82,12 +82,12 @@
                         {acting("n0", ClusterVersion::convert)});
   EXPECT_TRUE(plan.needs_census);
   EXPECT_TRUE(plan.possible());
-  add_census(plan, {0, 12, {}});
+  add_census_obstacles(plan, {0, 12, {}});
   EXPECT_TRUE(plan.possible());
-  add_census(plan, {0, 12, {"d/0/run-1/0"}});
+  add_census_obstacles(plan, {0, 12, {"d/0/run-1/0"}});
   ASSERT_EQ(plan.obstacles.size(), 1u);
   EXPECT_NE(plan.obstacles[0].what.find("d/0/run-1/0"), std::string::npos);
-  add_census(plan, {3, 12, {}});
+  add_census_obstacles(plan, {3, 12, {}});
   EXPECT_EQ(plan.obstacles.size(), 2u);
 }
 
@@ -99,9 +99,9 @@
   for (auto v = kFirstVersion; v < kNewestVersion; v = next(v)) {
     const auto here = progress_policy(v), there = progress_policy(next(v));
     EXPECT_TRUE(!here.convert_to || !there.convert_to || *here.convert_to == *there.convert_to);
-    EXPECT_TRUE(notes(v));
+    EXPECT_TRUE(version_info(v));
   }
-  EXPECT_FALSE(notes(next(kNewestVersion)));
+  EXPECT_FALSE(version_info(next(kNewestVersion)));
 }
 
 TEST(StepOrder, RoundTrips) {
