--- a/src/api/job_admission.cc
+++ b/src/api/job_admission.cc
@@ -1,4 +1,4 @@
-// Admission of jobs: the checks of prerequisites and the commit of the record.
+// Admission of jobs: checks of prerequisites and commit of the job record.
 #include "api/job_admission.h"
 
 #include <spdlog/spdlog.h>
@@ -21,25 +21,26 @@
     std::string value = codec::encode(job, nonce);
     return commit_record(job, std::move(value), nonce, {}, std::move(done));
   }
-  // Idempotent request: a repeated submission waits for the outcome of the one on its way.
-  if (auto same = pending_.find(job.id); same != pending_.end())
-    return same->second->waiting.push_back(std::move(done));
+  // Idempotent request: a repeated submission waits for the outcome of the pending one.
+  if (auto pending = pending_.find(job.id); pending != pending_.end())
+    return pending->second->callbacks.push_back(std::move(done));
   const auto submission = std::make_shared<Submission>();
   submission->job = std::move(job);
-  submission->waiting.push_back(std::move(done));
+  submission->callbacks.push_back(std::move(done));
   pending_[submission->job.id] = submission;
   check_prerequisites(submission);
 }
 
-void JobAdmission::end(const PendingSubmission& submission, const AdmissionResult& result) {
+void JobAdmission::finish(const PendingSubmission& submission, const AdmissionResult& result) {
   pending_.erase(submission->job.id);
-  for (const Done& done : submission->waiting) done(result);
+  for (const Done& done : submission->callbacks) done(result);
 }
 
 // ------------------------------------------------------------------------- prerequisites
 
-// Prerequisites of which this node's view has neither a record nor a final record. The job's own id
-// counts as unknown, unless the job itself was accepted through another node.
+// Returns the prerequisites for which this node's view has neither a job record nor a final record.
+// A job that names itself as a prerequisite finds its own id unknown, unless it was accepted
+// through another node.
 std::vector<std::string> JobAdmission::unknown_prerequisites(const JobSpec& job) const {
   const ClusterView& view = state_store_.view();
   std::vector<std::string> unknown;
@@ -48,38 +49,38 @@
   return unknown;
 }
 
-// A view lags, and a node that has just started has read no final records. So the state store is
-// asked for what is missing. Final records come first, since prerequisites that are done need not
-// be kept in the job's record.
+// The view may lag, and a node that has just started has read no final records. So the records of
+// unknown prerequisites are read from the state store. Final records are read first, because
+// prerequisites that are done are omitted from the job's record.
 void JobAdmission::check_prerequisites(const PendingSubmission& submission) {
   auto unknown = unknown_prerequisites(submission->job);
-  if (unknown.empty()) return write(submission);
+  if (unknown.empty()) return write_record(submission);
   state_store_.read_ends(std::move(unknown), [this, submission](const auto& read) {
-    if (!read) return end(submission, failed(AdmissionFailure::unconfirmed));
-    check_accepted(submission);
+    if (!read) return finish(submission, failed(AdmissionFailure::unconfirmed));
+    check_prerequisites_accepted(submission);
   });
 }
 
-void JobAdmission::check_accepted(const PendingSubmission& submission) {
-  auto asked = unknown_prerequisites(submission->job);
-  if (asked.empty()) return write(submission);
-  asked.push_back(submission->job.id);
-  state_store_.find_accepted(asked, [this, submission, asked](const auto& found) {
-    if (!found) return end(submission, failed(AdmissionFailure::unconfirmed));
-    // Idempotent request: a job that was accepted is not refused for other prerequisites that a
-    // repeated submission names.
-    if (found->contains(submission->job.id)) return end(submission, Admission::known_before);
-    if (found->size() + 1 < asked.size())
-      return end(submission, failed(AdmissionFailure::unknown_prerequisite));
-    write(submission);
+void JobAdmission::check_prerequisites_accepted(const PendingSubmission& submission) {
+  auto ids_to_find = unknown_prerequisites(submission->job);
+  if (ids_to_find.empty()) return write_record(submission);
+  ids_to_find.push_back(submission->job.id);
+  state_store_.find_accepted(ids_to_find, [this, submission, ids_to_find](const auto& found) {
+    if (!found) return finish(submission, failed(AdmissionFailure::unconfirmed));
+    // Idempotent request: a repeated submission of an accepted job is not refused, even if it names
+    // other prerequisites.
+    if (found->contains(submission->job.id)) return finish(submission, Admission::accepted_before);
+    if (found->size() + 1 < ids_to_find.size())
+      return finish(submission, failed(AdmissionFailure::unknown_prerequisite));
+    write_record(submission);
   });
 }
 
 // -------------------------------------------------------------------------------- record
 
-// What is durably done is left out of the record. A cancelled prerequisite stays in it: with that
-// record the job is cancelled too.
-void JobAdmission::write(const PendingSubmission& submission) {
+// Prerequisites that are durably done are omitted from the record. A cancelled prerequisite is
+// kept, so that the job is cancelled as well once it is accepted.
+void JobAdmission::write_record(const PendingSubmission& submission) {
   JobSpec& job = submission->job;
   const auto& finals = state_store_.view().finals;
   std::erase_if(job.prerequisites, [&](const std::string& id) {
@@ -91,23 +92,25 @@
   if (value.size() > value_limit_bytes(settings_) && !job.prerequisites.empty())
     return write_with_chunks(submission, nonce);
   commit_record(job, std::move(value), nonce, {},
-                [this, submission](const AdmissionResult& result) { end(submission, result); });
+                [this, submission](const AdmissionResult& result) { finish(submission, result); });
 }
 
-// The chunks first: the job is accepted with its record, the last key to be written. The record is
-// committed only while its last chunk stands. When chunks without a job are swept, the last one is
-// deleted first.
+// The chunks are written before the record, which is the last key and makes the job accepted. The
+// commit of the record requires that the last chunk still exists unchanged. Garbage collection of
+// chunks without a job deletes the last chunk first, so it makes this commit conflict.
 void JobAdmission::write_with_chunks(const PendingSubmission& submission,
                                      const std::string& nonce) {
   chunk_writer_.write(submission->job, nonce, [this, submission, nonce](const auto& chunks) {
-    if (!chunks) return end(submission, failed(AdmissionFailure::unconfirmed));
+    if (!chunks) return finish(submission, failed(AdmissionFailure::unconfirmed));
     const JobSpec& job = submission->job;
-    commit_record(job, codec::encode_with_chunks(job, chunks->count, nonce), nonce, {chunks->last},
-                  [this, submission](const AdmissionResult& result) { end(submission, result); });
+    commit_record(
+        job, codec::encode_with_chunks(job, chunks->count, nonce), nonce, {chunks->last_chunk},
+        [this, submission](const AdmissionResult& result) { finish(submission, result); });
   });
 }
 
-// Any node may accept a job. The preconditions say that no node has, and that it never ended.
+// Any node may accept a job. The preconditions require that no node has accepted it yet and that it
+// has no final record.
 void JobAdmission::commit_record(const JobSpec& job, std::string value, std::string nonce,
                                  std::vector<codec::Precondition> preconditions, Done done) {
   if (value.size() > value_limit_bytes(settings_)) return done(failed(AdmissionFailure::too_large));
@@ -122,9 +125,9 @@
       spdlog::info("job accepted job={} revision={}", id, revision);
       return done(Admission::accepted);
     }
-    // Idempotent request: an earlier one has been accepted, here or through another node.
+    // Idempotent request: an earlier submission was accepted by this node or another one.
     if (outcome == CasOutcome::conflict || outcome == CasOutcome::superseded)
-      return done(Admission::known_before);
+      return done(Admission::accepted_before);
     spdlog::debug("job refused job={} outcome={}", id, to_string(outcome));
     done(failed(AdmissionFailure::unconfirmed));
   };
--- a/src/api/job_admission.h
+++ b/src/api/job_admission.h
@@ -1,5 +1,5 @@
-// Admission of jobs: a job is known once its record is durable, and a job that names prerequisites
-// only if each of them was accepted before.
+// Admission of jobs: a job is accepted once its record is durable. A job with prerequisites is
+// accepted only if each of them was accepted before.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -15,17 +15,17 @@
 
 namespace eiderreel {
 
-/// How a job came to be known.
+/// Which submission made the job accepted.
 enum class Admission {
-  accepted,      // by this request
-  known_before,  // by an earlier one: the user is told the job's state
+  accepted,         // this submission
+  accepted_before,  // an earlier one; the reply is the job's state
 };
 
 /// Why a job was not admitted.
 enum class AdmissionFailure {
-  unknown_prerequisite,  // a prerequisite was never accepted, so the job is not either
-  unconfirmed,           // the state store does not tell; the user asks again
-  too_large,             // the record does not fit into a value of the state store
+  unknown_prerequisite,  // a prerequisite was never accepted
+  unconfirmed,           // the state store did not confirm; the user should retry
+  too_large,             // the record exceeds the value size limit of the state store
 };
 
 using AdmissionResult = tl::expected<Admission, AdmissionFailure>;
@@ -38,25 +38,25 @@
   JobAdmission(const Settings& settings, StateStoreClient& state_store)
       : settings_(settings), state_store_(state_store), chunk_writer_(settings, state_store) {}
 
-  /// Admits the job and calls back with the outcome, at once or later.
+  /// Admits the job and calls back with the outcome, possibly before this call returns.
   void accept(JobSpec job, Done done);
 
  private:
-  // A job with prerequisites whose admission is not decided yet.
+  // A job with prerequisites whose admission is pending.
   struct Submission {
     JobSpec job;
-    std::vector<Done> waiting;
+    std::vector<Done> callbacks;
   };
   using PendingSubmission = std::shared_ptr<Submission>;
 
   void check_prerequisites(const PendingSubmission& submission);
-  void check_accepted(const PendingSubmission& submission);
+  void check_prerequisites_accepted(const PendingSubmission& submission);
   std::vector<std::string> unknown_prerequisites(const JobSpec& job) const;
-  void write(const PendingSubmission& submission);
+  void write_record(const PendingSubmission& submission);
   void write_with_chunks(const PendingSubmission& submission, const std::string& nonce);
   void commit_record(const JobSpec& job, std::string value, std::string nonce,
                      std::vector<codec::Precondition> preconditions, Done done);
-  void end(const PendingSubmission& submission, const AdmissionResult& result);
+  void finish(const PendingSubmission& submission, const AdmissionResult& result);
 
   const Settings& settings_;
   StateStoreClient& state_store_;
--- a/src/api/job_api.h
+++ b/src/api/job_api.h
@@ -1,4 +1,4 @@
-// The job API: what users ask of this node, whichever node leads the partition in question.
+// The job API. Every node serves users' requests, whichever node leads the job's partition.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -19,9 +19,9 @@
 /// the view, then at the leader of its partition, then in the state store.
 class JobApi {
  public:
-  /// What the API needs of the controller.
+  /// Callbacks into the controller.
   struct Hooks {
-    /// Sends a question to a peer over the peer links.
+    /// Sends a job query to a peer over the peer links.
     std::function<void(const std::string& node, const peer_rpc::JobQuery&)> query_peer;
   };
   using Counters = UserRequestMetrics::Counters;
@@ -38,38 +38,40 @@
   void poll(const std::string& id, Reply reply);
   /// POST /v1/jobs/{id}/cancel.
   void cancel(const std::string& id, Reply reply);
-  /// A peer's answer to a question of ours; one that came too late is ignored.
+  /// Handles a peer's reply to a job query; a reply after the timeout is ignored.
   void on_query_reply(const peer_rpc::JobQueryReply& answer);
-  /// The machine types of the cloud, each time they are read.
-  void types_known(const std::vector<MachineType>& types) { submission_.types_known(types); }
+  /// Sets the machine types of the cloud; called each time they are read.
+  void set_machine_types(const std::vector<MachineType>& types) {
+    submission_.set_machine_types(types);
+  }
 
   /// Whether this node can serve users.
   bool ready() const {
-    return state_store_.view().ready && submission_.knows_types() &&
+    return state_store_.view().ready && submission_.has_machine_types() &&
            state_store_.standby_reason().empty();
   }
-  /// How many requests were answered with which status, and how long that took.
+  /// Requests by reply status, and their latencies.
   const Counters& counters() const { return metrics_.counters(); }
 
  private:
-  // Asks the leader of a job in the view, here or over the peer links.
+  // Queries the leader of a job in the view, which is this node or a peer.
   void query_leader(const std::string& id, bool cancel, JobQueryDone done);
   void finish_query(std::uint64_t number, JobQueryResult result);
-  void look_up_valid(const std::string& id, bool cancel, const Reply& reply);
+  void look_up_if_valid(const std::string& id, bool cancel, const Reply& reply);
   void look_up(const std::string& id, bool cancel, const Reply& reply);
   static void reply_final(const std::string& id, JobPhase phase, bool cancel, const Reply& reply);
-  // What is known of an open job, from a question that was asked at `asked_at`.
+  // A reply about an open job, from a query sent at `requested_at` (monotonic time).
   struct OpenJobReply {
-    Ms asked_at = 0;
+    Ms requested_at = 0;
     int status = 0;
     std::string body;
   };
-  static OpenJobReply queued_reply(const std::string& id, Ms asked_at);
-  void reply_open(const std::string& id, bool cancel, OpenJobReply answer,
-                  const Reply& reply) const;
-  void read_open(const std::string& id, bool cancel, const Reply& reply);
-  void read_final(const std::string& id, bool cancel, const Reply& reply);
-  void reply_waiting(const std::string& id, const Reply& reply);
+  static OpenJobReply make_queued_reply(const std::string& id, Ms requested_at);
+  void reply_open_job(const std::string& id, bool cancel, OpenJobReply answer,
+                      const Reply& reply) const;
+  void read_open_job(const std::string& id, bool cancel, const Reply& reply);
+  void read_final_record(const std::string& id, bool cancel, const Reply& reply);
+  void reply_job_with_prerequisites(const std::string& id, const Reply& reply);
 
   Runtime& runtime_;
   const Settings& settings_;
@@ -78,8 +80,8 @@
   UserRequestMetrics metrics_;
   JobSubmission submission_;
   Hooks hooks_;
-  std::uint64_t next_query_ = 0;
-  std::map<std::uint64_t, JobQueryDone> pending_queries_;  // by number
+  std::uint64_t last_query_number_ = 0;
+  std::map<std::uint64_t, JobQueryDone> pending_queries_;  // by query number
 };
 
 }  // namespace eiderreel
--- a/src/api/job_submission.cc
+++ b/src/api/job_submission.cc
@@ -1,4 +1,4 @@
-// The order in which a submission is checked, and the replies to it.
+// Checks of a submission, in their order, and the replies to it.
 #include "api/job_submission.h"
 
 #include <spdlog/spdlog.h>
@@ -25,29 +25,30 @@
 
 tl::expected<void, UserError> JobSubmission::check_can_run(const JobSpec& job) const {
   const auto team = std::find_if(settings_.teams.rbegin(), settings_.teams.rend(),
-                                 [&](const Team& each) { return each.name == job.team; });
+                                 [&](const Team& candidate) { return candidate.name == job.team; });
   if (team == settings_.teams.rend()) return tl::make_unexpected(UserError::unknown_team);
-  // An array needs room for one task within the limit, a service for all of them.
-  const double least_tasks = job.kind == JobKind::service ? job.tasks : 1;
-  if (job.cpus * least_tasks > team->quota_cpus || job.gpus * least_tasks > team->quota_gpus)
+  // The team's limit must cover one task of an array, but all tasks of a service.
+  const double min_tasks = job.kind == JobKind::service ? job.tasks : 1;
+  if (job.cpus * min_tasks > team->quota_cpus || job.gpus * min_tasks > team->quota_gpus)
     return tl::make_unexpected(UserError::over_team_limit);
-  for (const auto& type : types_)
+  for (const auto& type : machine_types_)
     for (const auto& zone : type.zones)
       if (may_host(job, type, zone, false)) return {};
   return tl::make_unexpected(UserError::fits_no_machine_type);
 }
 
-// Whether this node can decide on the job, and the job can run at all.
+// Checks that this node can admit jobs now and that the job can ever run.
 tl::expected<void, UserError> JobSubmission::check_node_admits(const JobSpec& job) const {
-  if (types_.empty()) return tl::make_unexpected(UserError::machine_types_unknown);
-  if (!state_store_.standby_reason().empty()) return tl::make_unexpected(UserError::standing_by);
+  if (machine_types_.empty()) return tl::make_unexpected(UserError::machine_types_unknown);
+  if (!state_store_.standby_reason().empty())
+    return tl::make_unexpected(UserError::controller_in_standby);
   if (const auto can_run = check_can_run(job); !can_run) {
     spdlog::info("job refused job={} team={} why={}", job.id, job.team, text_of(can_run.error()));
     return can_run;
   }
-  // A build that knows no prerequisites would not wait for them.
+  // A build without support for prerequisites would start the job without waiting for them.
   if (!job.prerequisites.empty() && partition_leader_.has_old_peer())
-    return tl::make_unexpected(UserError::older_peer);
+    return tl::make_unexpected(UserError::peer_without_prerequisites);
   return {};
 }
 
@@ -64,7 +65,7 @@
   JobSpec& job = *parsed.spec;
   job.accepted_at = runtime_.wall();
   if (!state_store_.view().ready) return reply_error(reply, UserError::not_ready);
-  // Idempotent request: a job that is known is told, never accepted again.
+  // Idempotent request: for a known job, the reply is its state; it is never accepted again.
   if (is_known(job.id)) return look_up_(job.id, reply);
   if (!parsed.error.empty()) return refuse_if_unknown(job.id, parsed.error, reply);
   if (const auto admits = check_node_admits(job); !admits)
@@ -72,12 +73,12 @@
   admit(std::move(job), reply);
 }
 
-// Idempotent request: a known job is not refused, whatever the prerequisites of a repeated
-// submission say.
+// Idempotent request: a repeated submission of a known job is not refused, even if its
+// prerequisites are invalid.
 void JobSubmission::refuse_if_unknown(const std::string& id, const std::string& error,
                                       const Reply& reply) {
   state_store_.find_accepted({id}, [this, id, error, reply](const auto& found) {
-    if (!found) return reply_error(reply, UserError::store_silent);
+    if (!found) return reply_error(reply, UserError::store_unreachable);
     if (found->empty()) return reply(http_status::kBadRequest, codec::error_body(error));
     look_up_(id, reply);
   });
@@ -98,7 +99,7 @@
 void JobSubmission::reply_admission(const std::string& id, const AdmissionResult& result,
                                     const Reply& reply) {
   if (result) {
-    if (*result == Admission::known_before) return look_up_(id, reply);
+    if (*result == Admission::accepted_before) return look_up_(id, reply);
     return reply(http_status::kCreated, codec::job_answer(id, JobPhase::queued));
   }
   switch (result.error()) {
@@ -108,7 +109,7 @@
     case AdmissionFailure::too_large:
       return reply_error(reply, UserError::record_too_large);
     case AdmissionFailure::unconfirmed:
-      return reply_error(reply, UserError::store_unconfirmed);
+      return reply_error(reply, UserError::commit_unconfirmed);
   }
 }
 
--- a/src/api/job_submission.h
+++ b/src/api/job_submission.h
@@ -1,4 +1,4 @@
-// Submission of jobs by users: validation, refusal of what can never run, and admission.
+// Submission of jobs by users: validation, refusal of jobs that can never run, and admission.
 #pragma once
 #include <functional>
 #include <string>
@@ -12,22 +12,22 @@
 
 namespace eiderreel {
 
-/// Decides on submissions. Any node does so for any team.
+/// Validates and admits submitted jobs. Any node can do so for any team.
 class JobSubmission {
  public:
-  /// Replies with the state of a job that is known already.
+  /// Replies with the state of a known job.
   using LookUp = std::function<void(const std::string& id, const Reply& reply)>;
 
   JobSubmission(const Runtime& runtime, const Settings& settings, StateStoreClient& state_store,
                 const PartitionLeader& partition_leader, LookUp look_up);
 
-  /// Replies 201 once the job is durable, 200 if it was known before, or with an error.
+  /// Replies 201 once the job record is durable, 200 if the job is already known, or with an error.
   void submit(const std::string& body, const Reply& reply);
 
-  /// The machine types of the cloud; until they are known, no job is admitted.
-  void types_known(const std::vector<MachineType>& types) { types_ = types; }
-  /// Whether the machine types of the cloud are known, without which no job is admitted.
-  bool knows_types() const { return !types_.empty(); }
+  /// Sets the machine types of the cloud. No job is admitted before the first call.
+  void set_machine_types(const std::vector<MachineType>& types) { machine_types_ = types; }
+  /// Whether the machine types of the cloud are known.
+  bool has_machine_types() const { return !machine_types_.empty(); }
 
  private:
   tl::expected<void, UserError> check_can_run(const JobSpec& job) const;
@@ -43,7 +43,7 @@
   const PartitionLeader& partition_leader_;
   JobAdmission admission_;
   LookUp look_up_;
-  std::vector<MachineType> types_;
+  std::vector<MachineType> machine_types_;
 };
 
 }  // namespace eiderreel
--- a/src/api/prerequisite_chunk_writer.cc
+++ b/src/api/prerequisite_chunk_writer.cc
@@ -1,4 +1,4 @@
-// Splitting of prerequisites into chunks, and their transactions.
+// Splits prerequisites into chunks and writes them in transactions.
 #include "api/prerequisite_chunk_writer.h"
 
 #include <utility>
@@ -35,27 +35,27 @@
     bytes = k::kRecordOverhead;
   };
   for (const auto& id : job.prerequisites) {
-    const std::size_t size = id.size() + kJsonBytesPerId;
-    if (bytes + size > value_limit_bytes(settings_)) close_chunk();
-    bytes += size;
+    const std::size_t id_bytes = id.size() + kJsonBytesPerId;
+    if (bytes + id_bytes > value_limit_bytes(settings_)) close_chunk();
+    bytes += id_bytes;
     chunk.jobs.push_back(id);
   }
   close_chunk();
   return values;
 }
 
-// As many chunks at once as a transaction takes.
+// Writes as many of the remaining chunks as fit into one transaction, then continues with the rest.
 void PrerequisiteChunkWriter::write_next(const PendingUpload& upload) {
   const auto& values = upload->values;
-  if (upload->written == values.size()) {
+  if (upload->durable_count == values.size()) {
     const std::string last_key =
         codec::prerequisite_key(upload->job_id, upload->nonce, values.size() - 1);
-    return upload->done(Written{values.size(), {last_key, upload->last_revision}});
+    return upload->done(WrittenChunks{values.size(), {last_key, upload->last_revision}});
   }
   CompareAndSwap commit;
   commit.nonce = upload->nonce;
   std::size_t bytes = 0;
-  std::size_t next = upload->written;
+  std::size_t next = upload->durable_count;
   const auto max_writes = static_cast<std::size_t>(settings_.batch());
   while (next < values.size() && commit.writes.size() < max_writes &&
          (commit.writes.empty() || bytes + values[next].size() <= k::kTransactionBytes)) {
@@ -67,7 +67,7 @@
   }
   commit.done = [this, upload, next](CasOutcome outcome, std::uint64_t revision) {
     if (outcome != CasOutcome::ok) return upload->done(std::nullopt);
-    upload->written = next;
+    upload->durable_count = next;
     upload->last_revision = revision;
     write_next(upload);
   };
--- a/src/api/prerequisite_chunk_writer.h
+++ b/src/api/prerequisite_chunk_writer.h
@@ -1,4 +1,4 @@
-// Storage of a job's prerequisites that do not fit into its record.
+// Storage of prerequisites that do not fit into the job's record.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -13,30 +13,30 @@
 
 namespace eiderreel {
 
-/// Splits a list of prerequisites into values of the state store and writes these.
+/// Splits a list of prerequisites into values within the size limit and writes them.
 class PrerequisiteChunkWriter {
  public:
-  /// The chunks of one job, all of them durable.
-  struct Written {
+  /// The durable chunks of one job.
+  struct WrittenChunks {
     std::size_t count = 0;
-    codec::Precondition last;  // holds while the last chunk stands as it was written
+    codec::Precondition last_chunk;  // the last chunk is unchanged since it was written
   };
-  /// Nothing: the state store did not confirm all chunks; some may be stored.
-  using Done = std::function<void(std::optional<Written>)>;
+  /// Receives std::nullopt if the state store did not confirm all chunks; some may be stored.
+  using Done = std::function<void(std::optional<WrittenChunks>)>;
 
   PrerequisiteChunkWriter(const Settings& settings, StateStoreClient& state_store)
       : settings_(settings), state_store_(state_store) {}
 
-  /// Writes the prerequisites of the job under `nonce`, the nonce of the record that will follow.
+  /// Writes the prerequisites of the job under `nonce`, the nonce of the job record written next.
   void write(const JobSpec& job, const std::string& nonce, Done done);
 
  private:
-  // The chunks of one job on their way to the state store.
+  // Chunks of one job that are being written.
   struct Upload {
     std::string job_id;
     std::string nonce;
     std::vector<std::string> values;
-    std::size_t written = 0;  // values that are durable
+    std::size_t durable_count = 0;  // number of durable values
     std::uint64_t last_revision = 0;
     Done done;
   };
--- a/src/api/user_error.cc
+++ b/src/api/user_error.cc
@@ -1,4 +1,4 @@
-// The one table of the errors that users of the job API are told.
+// Statuses and texts of all errors of the job API.
 #include "api/user_error.h"
 
 #include <spdlog/spdlog.h>
@@ -33,20 +33,20 @@
       return {kServiceUnavailable, "not ready yet"};
     case UserError::machine_types_unknown:
       return {kServiceUnavailable, "the machine types are not known yet"};
-    case UserError::standing_by:
+    case UserError::controller_in_standby:
       return {kServiceUnavailable,
               "this controller's build does not act under the cluster version"};
-    case UserError::older_peer:
+    case UserError::peer_without_prerequisites:
       return {kServiceUnavailable, "a controller of an earlier version is still running"};
-    case UserError::store_unconfirmed:
+    case UserError::commit_unconfirmed:
       return {kServiceUnavailable, "the state service did not confirm; try again"};
-    case UserError::store_silent:
+    case UserError::store_unreachable:
       return {kServiceUnavailable, "the state service does not answer"};
-    case UserError::answer_too_old:
+    case UserError::reply_too_old:
       return {kServiceUnavailable, "the answer took too long; ask again"};
     case UserError::leader_unreachable:
       return {kServiceUnavailable, "the job's owner cannot be reached; ask again"};
-    case UserError::cancel_unreachable:
+    case UserError::leader_unreachable_for_cancel:
       return {kServiceUnavailable, "the job's owner cannot be reached; try again"};
   }
   return {kServerError, "unknown error"};
--- a/src/api/user_request_metrics.h
+++ b/src/api/user_request_metrics.h
@@ -11,7 +11,7 @@
 /// Counts each reply to a user by its HTTP status, and measures how long it took.
 class UserRequestMetrics {
  public:
-  /// What was counted since the start of the process.
+  /// Counts and latencies since the start of the process.
   struct Counters {
     std::map<int, std::uint64_t> submits, polls, cancels;  // by HTTP status
     LatencyHistogram submit_latency, poll_latency, cancel_latency;
@@ -19,19 +19,20 @@
 
   explicit UserRequestMetrics(const Runtime& runtime) : runtime_(runtime) {}
 
-  /// Each returns a reply that counts itself and then passes on to `reply`. The latency runs from
-  /// this call to the reply. This object must outlive the reply.
+  /// Returns a callback that counts the reply to a submission and then calls `reply`. The latency
+  /// is measured from this call to the reply. This object must outlive the returned callback.
   Reply count_submit(Reply reply);
-  /// The same for a question about a job.
+  /// Like count_submit(), for a poll.
   Reply count_poll(Reply reply);
-  /// The same for a cancellation.
+  /// Like count_submit(), for a cancellation.
   Reply count_cancel(Reply reply);
 
-  /// All that was counted since the start.
+  /// Counts since the start of the process.
   const Counters& counters() const { return counters_; }
 
  private:
-  Reply counted(std::map<int, std::uint64_t>& by_status, LatencyHistogram& latency, Reply reply);
+  Reply with_metrics(std::map<int, std::uint64_t>& by_status, LatencyHistogram& latency,
+                     Reply reply);
 
   const Runtime& runtime_;
   Counters counters_;
--- a/src/api/value_limit.h
+++ b/src/api/value_limit.h
@@ -1,4 +1,4 @@
-// The limit of the state store on the size of a value.
+// Size limit of values in the state store.
 #pragma once
 #include <cstddef>
 
@@ -6,7 +6,7 @@
 
 namespace eiderreel {
 
-/// The largest value that the state store takes, in bytes.
+/// The largest size of a value that the state store accepts, in bytes.
 inline std::size_t value_limit_bytes(const Settings& settings) {
   constexpr int kBytesPerKib = 1024;
   return static_cast<std::size_t>(settings.state_value_kb * kBytesPerKib);
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -36,7 +36,7 @@
   FleetManager::Hooks hooks;
   hooks.types_known = [this](const std::vector<MachineType>& types) {
     partition_leader_.types_known(types);
-    job_api_.types_known(types);
+    job_api_.set_machine_types(types);
   };
   hooks.send = [this](const std::string& node, const peer_rpc::Body& body) {
     peers_.send(node, body);
