--- a/src/state_store/node_record_writer.cc
+++ b/src/state_store/node_record_writer.cc
@@ -69,7 +69,7 @@
     const auto version = record.versions->acting;
     spdlog::info("version acknowledged node={} version={} revision={}", dependencies_.settings.node,
                  upgrade::to_string(version), revision);
-    dependencies_.acting_version.record_written(version, revision);
+    dependencies_.acting_version.on_record_written(version, revision);
   }
   dependencies_.runtime.after(written ? 0 : k::kRetryMs, [this] { writing_ = false; });
 }
--- a/src/state_store/standby_monitor.cc
+++ b/src/state_store/standby_monitor.cc
@@ -6,7 +6,7 @@
 namespace eiderreel {
 
 void StandbyMonitor::update(const upgrade::ClusterState& cluster) {
-  std::string reason = acting_version_.obstacle(cluster);
+  std::string reason = acting_version_.standby_reason(cluster);
   if (reason == reason_) return;
   reason_ = std::move(reason);
   if (reason_.empty())
--- a/src/state_store/state_store_client.cc
+++ b/src/state_store/state_store_client.cc
@@ -43,7 +43,7 @@
 
 void StateStoreClient::start(ReplicatedView::Events events, std::function<void()> lease_lost) {
   lease_.start([this, lease_lost = std::move(lease_lost)] {
-    acting_version_.record_lost();  // it was bound to the lease
+    acting_version_.on_record_lost();  // it was bound to the lease
     lease_lost();
   });
   replica_.start(std::move(events));
--- a/src/state_store/state_store_client.h
+++ b/src/state_store/state_store_client.h
@@ -69,7 +69,7 @@
     return upgrade::progress_policy(acting_version_.version());
   }
   /// Why this controller must not act at all; empty: it may.
-  std::string standby_reason() const { return acting_version_.obstacle(view().cluster); }
+  std::string standby_reason() const { return acting_version_.standby_reason(view().cluster); }
   /// Marks a value as written by this process.
   std::string nonce() { return nonces_.next(); }
 
--- a/src/versioning/acting_version.h
+++ b/src/versioning/acting_version.h
@@ -1,5 +1,5 @@
-// Which cluster version this controller acts under, and the precondition that binds its writes to
-// that version.
+// The cluster version that this controller acts under, and the revision of its record, which makes
+// its writes conditional on that version.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -9,46 +9,47 @@
 
 namespace eiderreel::upgrade {
 
-/// The durable cluster version, as this controller's replica has it.
+/// The durable cluster version in this controller's replica.
 struct ClusterState {
-  /// Nothing if the key holds a value that cannot be read.
+  /// std::nullopt if the stored value cannot be parsed.
   std::optional<ClusterVersion> version = kFirstVersion;
-  /// Revision of the key; 0 if there is none, and the version is the first one.
+  /// Revision of the key; 0 if the key does not exist, in which case the version is kFirstVersion.
   std::uint64_t revision = 0;
 };
 
-/// The version that this controller acts under, which is the one that its own record in the state
-/// store names. The record is bound to the controller's lease, and its revision is a precondition
-/// of every write: once the record is replaced or its lease has ended, an earlier write is refused
-/// however late it arrives.
+/// The version that this controller acts under, as named by its own record in the state store. The
+/// record is bound to the controller's lease, and its revision is a precondition of every write.
+/// Once the record is replaced or the lease has ended, the state store therefore refuses writes
+/// that were sent before, however late they arrive.
 class ActingVersion {
  public:
-  /// `range` are the versions of this build.
+  /// `range` holds the versions that this build supports.
   ActingVersion(bool enabled, VersionRange range) : enabled_(enabled), range_(range) {}
 
-  /// Whether this controller takes part in cluster versions. One that does not behaves as a build
-  /// from before them: it acts under the first version, and its writes have no such precondition.
+  /// Whether this controller takes part in cluster versions. If not, it behaves like a build from
+  /// before cluster versions: it acts under the first version, and its writes do not have the
+  /// revision of its record as a precondition.
   bool enabled() const { return enabled_; }
-  /// The versions of this build.
+  /// The versions that this build supports.
   const VersionRange& range() const { return range_; }
   /// The version that this controller acts under.
   ClusterVersion version() const { return version_; }
-  /// Revision of this controller's record; 0 if there is none and nothing may be written.
+  /// Revision of this controller's record; 0 if it has none, in which case it must not write.
   std::uint64_t record_revision() const { return record_revision_; }
 
-  /// Why this build must not act under the durable version; empty if it may.
-  std::string obstacle(const ClusterState& cluster) const;
-  /// Whether the record has to be written, because there is none or it names another version.
+  /// Why this controller must not act under the durable version; empty if it may.
+  std::string standby_reason(const ClusterState& cluster) const;
+  /// Whether the record must be written because it does not exist or names another version.
   bool needs_record(const ClusterState& cluster) const {
     return cluster.version && (record_revision_ == 0 || *cluster.version != version_);
   }
-  /// The record was written with this version.
-  void record_written(ClusterVersion version, std::uint64_t revision) {
+  /// Called when the record was written with this version, at this revision.
+  void on_record_written(ClusterVersion version, std::uint64_t revision) {
     version_ = version;
     record_revision_ = revision;
   }
-  /// The lease has ended, and the record with it.
-  void record_lost() { record_revision_ = 0; }
+  /// Called when the lease has ended, which deletes the record.
+  void on_record_lost() { record_revision_ = 0; }
 
  private:
   bool enabled_;
--- a/src/versioning/cluster_version.cc
+++ b/src/versioning/cluster_version.cc
@@ -1,4 +1,4 @@
-// The tables of gates and of notes on cluster versions.
+// Tables of the gates and of the properties of cluster versions.
 #include "versioning/cluster_version.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 namespace eiderreel::upgrade {
 namespace {
 
-// The versions in which a gate is open.
+// The range of versions in which a gate is open.
 struct GateRow {
   Gate gate{};
   VersionRange open;
--- a/src/versioning/cluster_version.h
+++ b/src/versioning/cluster_version.h
@@ -1,5 +1,5 @@
-// The cluster version: one number for the whole cluster that says which new behaviour is in force.
-// Each build knows a range of versions; the cluster moves through them one step at a time.
+// The cluster version: one number for the whole cluster that selects version-dependent behaviour.
+// Each build supports a range of versions; the cluster moves one version at a time.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -7,17 +7,17 @@
 
 namespace eiderreel::upgrade {
 
-/// A cluster version. Those of later builds have numbers without a name here.
+/// A cluster version. Versions of later builds are valid values without an enumerator.
 enum class ClusterVersion : std::uint32_t {
   base = 1,           ///< The formats of the builds before cluster versions.
   write_compact = 2,  ///< Progress is written in the compact form.
   convert = 3,        ///< Progress in the bits form is rewritten in the background.
-  compact_only = 4,   ///< No progress in the bits form is left; there is no way back.
+  compact_only = 4,   ///< No progress in the bits form is left; irreversible.
 };
 
-/// The version of a cluster whose state store holds none.
+/// The version of a cluster whose state store has no version key.
 constexpr ClusterVersion kFirstVersion = ClusterVersion::base;
-/// The newest version that this build knows.
+/// The newest version that this build supports.
 constexpr ClusterVersion kNewestVersion = ClusterVersion::compact_only;
 
 /// The number of a version.
@@ -44,45 +44,45 @@
   bool contains(ClusterVersion version) const { return oldest <= version && version <= newest; }
   bool operator==(const VersionRange&) const = default;
 };
-/// For people: "1 to 4".
+/// Human-readable range, such as "1 to 4".
 std::string to_string(const VersionRange& range);
 
-/// What a controller's record says about its build.
+/// The versions of a controller's build, from the controller's record.
 struct BuildVersions {
   VersionRange range;
   ClusterVersion acting = kFirstVersion;
-  std::string build;  ///< Name of the build, for people.
+  std::string build;  ///< Human-readable name of the build.
 };
 
-/// Behaviour that depends on the version. Each gate is open in a range of versions, which is listed
-/// in one table; nothing else compares versions to decide what to do.
+/// Feature gates: behaviour that depends on the cluster version. A table lists the range of
+/// versions in which each gate is open; no other code compares versions to select behaviour.
 enum class Gate {
   write_compact_progress,
   convert_to_compact_progress,
-  convert_to_bits_progress,  ///< After steps back.
+  convert_to_bits_progress,  ///< Reverts the conversion after steps back.
 };
 /// Whether the gate is open in this version.
 bool is_open(Gate gate, ClusterVersion version);
 
-/// How progress is stored; `bits` is the form of the builds before cluster versions.
+/// Storage format of progress; `bits` is the format of builds from before cluster versions.
 enum class ProgressForm : std::uint8_t { bits, compact };
 
-/// What a controller does with progress while it acts under a version.
+/// How a controller writes and converts progress while it acts under a version.
 struct ProgressPolicy {
   ProgressForm write = ProgressForm::bits;
-  /// Stored values in the other form are rewritten in this one; nothing if all are left alone.
+  /// Stored values in the other form are rewritten in this one; std::nullopt: no conversion.
   std::optional<ProgressForm> convert_to;
 };
 /// The policy of a version.
 ProgressPolicy progress_policy(ClusterVersion version);
 
-/// What an operator should know about a version before the cluster enters it.
+/// Properties of a version that matter before the cluster moves to it.
 struct VersionInfo {
-  const char* effect = "";
-  bool needs_conversion = false;  ///< No progress in the bits form may be left.
-  bool reversible = true;         ///< The cluster may go back from it.
+  const char* effect = "";        ///< Shown to operators.
+  bool needs_conversion = false;  ///< All progress in the bits form must be converted first.
+  bool reversible = true;         ///< The cluster can step back from this version.
 };
-/// The notes on a version; nothing if this build does not know it.
+/// The properties of a version; std::nullopt if this build does not support it.
 std::optional<VersionInfo> version_info(ClusterVersion version);
 
 }  // namespace eiderreel::upgrade
--- a/src/versioning/maintenance_window.cc
+++ b/src/versioning/maintenance_window.cc
@@ -1,4 +1,4 @@
-// Maintenance windows by the clocks of a named time zone.
+// Maintenance windows in the local time of a named time zone.
 #include "versioning/maintenance_window.h"
 
 #include <date/date.h>
@@ -10,7 +10,7 @@
 namespace eiderreel::upgrade {
 namespace {
 
-using Moment = date::sys_time<std::chrono::milliseconds>;
+using TimePoint = date::sys_time<std::chrono::milliseconds>;
 
 constexpr std::array<const char*, kWeekdayCount> kWeekdays = {"sun", "mon", "tue", "wed",
                                                               "thu", "fri", "sat"};
@@ -20,18 +20,18 @@
 
 bool is_digit(char character) { return character >= '0' && character <= '9'; }
 
-Moment moment_of(const date::time_zone& zone, date::local_days day, TimeOfDay time) {
+TimePoint to_time_point(const date::time_zone& zone, date::local_days day, TimeOfDay time) {
   return zone.to_sys(day + time.since_midnight, date::choose::earliest);
 }
 
-// Whether the moment is in the window that begins on this local day.
-bool begun_on(const MaintenanceWindow& window, const date::time_zone& zone, date::local_days day,
-              Moment moment) {
+// Whether the time point is in the occurrence of the window that begins on this local day.
+bool is_in_occurrence(const MaintenanceWindow& window, const date::time_zone& zone,
+                      date::local_days day, TimePoint time_point) {
   if (!window.days[date::weekday(day).c_encoding()]) return false;
-  const bool over_midnight = window.to.since_midnight <= window.from.since_midnight;
-  const date::local_days last_day = day + date::days(over_midnight ? 1 : 0);
-  return moment_of(zone, day, window.from) <= moment &&
-         moment < moment_of(zone, last_day, window.to);
+  const bool ends_next_day = window.to.since_midnight <= window.from.since_midnight;
+  const date::local_days last_day = day + date::days(ends_next_day ? 1 : 0);
+  return to_time_point(zone, day, window.from) <= time_point &&
+         time_point < to_time_point(zone, last_day, window.to);
 }
 
 }  // namespace
@@ -62,14 +62,14 @@
   }
 }
 
-bool MaintenanceWindows::contains(Ms wall) const {
+bool MaintenanceWindows::contains(Ms wall_time) const {
   if (windows_.empty()) return false;
   const date::time_zone& zone = *date::locate_zone(time_zone_);
-  const Moment moment{std::chrono::milliseconds(wall)};
-  const auto today = date::floor<date::days>(zone.to_local(moment));
+  const TimePoint time_point{std::chrono::milliseconds(wall_time)};
+  const auto today = date::floor<date::days>(zone.to_local(time_point));
   return std::any_of(windows_.begin(), windows_.end(), [&](const MaintenanceWindow& window) {
-    return begun_on(window, zone, today, moment) ||
-           begun_on(window, zone, today - date::days(1), moment);
+    return is_in_occurrence(window, zone, today, time_point) ||
+           is_in_occurrence(window, zone, today - date::days(1), time_point);
   });
 }
 
