--- a/src/upgrade/coordinator.h
+++ b/src/upgrade/coordinator.h
@@ -72,10 +72,9 @@
   StatusReporter status_reporter_;
   ProgressCensusTaker census_taker_;
   StepHistory history_;
-  PendingStep in_flight_;  // null if no step is in progress
-  std::optional<std::string>
-      step_in_doubt_;            // request id; std::nullopt if the last outcome is known
-  Ms last_automatic_check_ = 0;  // monotonic time
+  PendingStep in_flight_;                     // null if no step is in progress
+  std::optional<std::string> step_in_doubt_;  // request id of a step with an unknown outcome
+  Ms last_automatic_check_ = 0;               // monotonic time
 };
 
 }  // namespace eiderreel::upgrade
--- a/src/upgrade/step_names.h
+++ b/src/upgrade/step_names.h
@@ -18,8 +18,7 @@
 enum class StepOutcome {
   taken,    // the new version is durable
   refused,  // the plan has an obstacle; nothing was changed
-  changed,  // the cluster or a controller changed before the commit; nothing was changed by the
-            // step
+  changed,  // a record changed between the plan and the commit; the step changed nothing
   failed,   // the state store failed or refused the request; nothing was changed
   unknown,  // the state store did not reply; the commit may have landed or may still land
 };
