--- a/src/state_store/state_store_client.h
+++ b/src/state_store/state_store_client.h
@@ -68,7 +68,7 @@
     return upgrade::progress_policy(acting_version_.version());
   }
   /// The reason why this controller must not act; empty if it may.
-  std::string standby_reason() const { return acting_version_.obstacle(view().cluster); }
+  std::string standby_reason() const { return acting_version_.standby_reason(view().cluster); }
   /// Returns a new nonce, which marks the values written by one transaction.
   std::string nonce() { return nonces_.next(); }
 
