--- a/src/codec/cloud_json.cc
+++ b/src/codec/cloud_json.cc
@@ -1,4 +1,4 @@
-// The catalog, the list of machines and rentals.
+// JSON codec of the cloud's API.
 #include "codec/cloud_json.h"
 
 #include <utility>
@@ -24,7 +24,8 @@
   reader.optional(wire::cloud::kPrice, type.price);
   reader.optional(wire::cloud::kSpotPrice, type.spot_price);
   reader.optional(wire::cloud::kBootS, type.boot_s);
-  if (const Value* zones = field(object, wire::cloud::kZones)) type.zones = only_strings(*zones);
+  if (const Value* zones = find_field(object, wire::cloud::kZones))
+    type.zones = string_elements(*zones);
   return reader.result(std::move(type));
 }
 
@@ -37,7 +38,7 @@
   reader.optional(wire::cloud::kZone, machine.zone);
   reader.optional(wire::cloud::kSpot, machine.spot);
   reader.optional(wire::cloud::kPhase, machine.phase);
-  reader.optional(wire::cloud::kHeldS, machine.held_s);
+  reader.optional(wire::cloud::kRentalAgeS, machine.rental_age_s);
   return reader.result(std::move(machine));
 }
 
@@ -64,15 +65,15 @@
 Decoded<std::vector<std::string>> parse_provisioned(const std::string& body) {
   const auto document = parse_object(body);
   if (!document) return tl::unexpected(document.error());
-  const Value* machines = field(*document, wire::cloud::kMachines);
+  const Value* machines = find_field(*document, wire::cloud::kMachines);
   if (machines == nullptr || !machines->IsArray())
     return field_error(DecodeFault::missing_or_invalid, wire::cloud::kMachines);
-  return only_strings(*machines);
+  return string_elements(*machines);
 }
 
 std::string scale_out_body(const std::string& request_id, const std::string& type,
                            const std::string& zone, bool spot, int count) {
-  return object([&](Writer& writer) {
+  return encode_object([&](Writer& writer) {
     put(writer, wire::cloud::kRequestId, request_id);
     put(writer, wire::cloud::kMachineType, type);
     put(writer, wire::cloud::kZone, zone);
@@ -82,7 +83,8 @@
 }
 
 std::string scale_in_body(const std::vector<std::string>& machines) {
-  return object([&](Writer& writer) { put_strings(writer, wire::cloud::kMachines, machines); });
+  return encode_object(
+      [&](Writer& writer) { put_strings(writer, wire::cloud::kMachines, machines); });
 }
 
 }  // namespace eiderreel::codec
--- a/src/codec/cloud_json.h
+++ b/src/codec/cloud_json.h
@@ -1,5 +1,5 @@
-// The cloud's catalog, its list of machines, and requests to scale out and in, in JSON; section
-// "Controller nodes -> cloud" of the protocol.
+// JSON codec of the cloud's API: machine catalog, machine list, and requests to scale out and in.
+// See the section "Controller nodes -> cloud" of the protocol.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,30 +9,30 @@
 
 namespace eiderreel::codec {
 
-/// A machine as the cloud lists it. The list may be behind by a minute and more.
+/// A machine as listed by the cloud. The list may lag by more than a minute.
 struct ListedMachine {
   std::string id;
-  std::string addr;  // IP:PORT of its worker
+  std::string addr;  // IP:PORT of the worker
   std::string type;
   std::string zone;
   std::string phase;  // starting, running or failed
   bool spot = false;
-  double held_s = 0;  // since the request that rented it
+  double rental_age_s = 0;  // since the request that provisioned the machine
 };
 
-/// A page of the list.
+/// One page of the cloud's list of machines.
 struct MachineList {
   std::vector<ListedMachine> machines;
   bool more = false;  // further pages follow
 };
 
-/// The answer to "GET /catalog".
+/// Parses the answer to "GET /catalog".
 Decoded<std::vector<MachineType>> parse_catalog(const std::string& body);
-/// The answer to "GET /machines".
+/// Parses the answer to "GET /machines".
 Decoded<MachineList> parse_machines(const std::string& body);
-/// The answer to "POST /machines": the ids of the machines that were rented.
+/// Parses the answer to "POST /machines": the ids of the provisioned machines.
 Decoded<std::vector<std::string>> parse_provisioned(const std::string& body);
-/// The body of "POST /machines". A request id must never be used twice.
+/// The body of "POST /machines". Every request must have a new `request_id`.
 std::string scale_out_body(const std::string& request_id, const std::string& type,
                            const std::string& zone, bool spot, int count);
 /// The body of "POST /machines/return".
--- a/src/codec/decode_error.cc
+++ b/src/codec/decode_error.cc
@@ -1,4 +1,4 @@
-// The texts of decoding errors.
+// Construction and text form of decoding errors.
 #include "codec/decode_error.h"
 
 namespace eiderreel::codec {
--- a/src/codec/job_fields.cc
+++ b/src/codec/job_fields.cc
@@ -1,4 +1,4 @@
-// The fields of a job, as users submit it and as its record keeps it.
+// JSON codec of a job's fields.
 #include "codec/job_fields.h"
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 void read_amount(FieldReader& reader, const char* name, double& out) {
   reader.required(name, out);
-  reader.check(name, out >= 0 && out <= kAmountMax);
+  reader.check(name, out >= 0 && out <= kMaxAmount);
 }
 
 void read_identity(FieldReader& reader, JobSpec& spec) {
@@ -41,8 +41,8 @@
 }
 
 void read_placement(FieldReader& reader, const Value& object, JobSpec& spec) {
-  if (const Value* types = field(object, wire::job::kMachineTypes)) {
-    spec.types = all_strings(*types).value_or(std::vector<std::string>{});
+  if (const Value* types = find_field(object, wire::job::kMachineTypes)) {
+    spec.types = parse_strings(*types).value_or(std::vector<std::string>{});
     reader.check(wire::job::kMachineTypes, !spec.types.empty());
   }
   if (reader.has(wire::job::kZone)) {
@@ -78,14 +78,14 @@
 
 Decoded<std::vector<std::string>> parse_job_ids(const Value& object, const char* name) {
   std::vector<std::string> ids;
-  const Value* list = field(object, name);
+  const Value* list = find_field(object, name);
   if (list == nullptr) return ids;
-  const auto texts = all_strings(*list);
-  if (!texts) return field_error(DecodeFault::invalid, name);
-  std::set<std::string> seen;
-  for (const auto& id : *texts) {
+  const auto listed_ids = parse_strings(*list);
+  if (!listed_ids) return field_error(DecodeFault::invalid, name);
+  std::set<std::string> unique_ids;
+  for (const auto& id : *listed_ids) {
     if (!valid_job_id(id)) return field_error(DecodeFault::invalid, name);
-    if (seen.insert(id).second) ids.push_back(id);
+    if (unique_ids.insert(id).second) ids.push_back(id);
   }
   return ids;
 }
@@ -94,8 +94,8 @@
   put(writer, wire::job::kId, spec.id);
   put(writer, wire::job::kClass, spec.jobclass);
   put(writer, wire::job::kTeam, spec.team);
-  put(writer, wire::job::kKind, name_of(spec.kind, wire::job::kKinds));
-  put(writer, wire::job::kPriority, name_of(spec.priority, wire::job::kPriorities));
+  put(writer, wire::job::kKind, enum_name(spec.kind, wire::job::kKinds));
+  put(writer, wire::job::kPriority, enum_name(spec.priority, wire::job::kPriorities));
   put(writer, wire::job::kTasks, std::uint64_t{spec.tasks});
   put(writer, wire::job::kCpus, spec.cpus);
   put(writer, wire::job::kGpus, spec.gpus);
--- a/src/codec/job_fields.h
+++ b/src/codec/job_fields.h
@@ -1,5 +1,5 @@
-// The fields of a job. Users submit a job in this form, and its record in the state store has the
-// same form.
+// JSON codec of a job's fields. Submissions by users and job records in the state store share this
+// format.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,12 +9,12 @@
 
 namespace eiderreel::codec::fields {
 
-/// What a user has submitted, but for the prerequisites ("POST /v1/jobs"). The error names the
-/// first field that is missing or invalid.
+/// Parses a submitted job ("POST /v1/jobs") except for its prerequisites. The error names the first
+/// field that is missing or invalid.
 Decoded<JobSpec> parse_spec(const Value& object);
-/// A list of job ids, each taken once; a missing list is an empty one.
+/// Parses a list of job ids and drops duplicates. A missing list counts as empty.
 Decoded<std::vector<std::string>> parse_job_ids(const Value& object, const char* name);
-/// Writes the fields of a job, but for its prerequisites.
+/// Writes the fields of a job except for its prerequisites.
 void put_spec(Writer& writer, const JobSpec& spec);
 
 }  // namespace eiderreel::codec::fields
--- a/src/codec/job_json.cc
+++ b/src/codec/job_json.cc
@@ -1,4 +1,4 @@
-// Jobs as users submit and see them.
+// JSON codec of the users' API for jobs.
 #include "codec/job_json.h"
 
 #include <cstddef>
@@ -17,13 +17,13 @@
 namespace {
 
 constexpr std::string_view kIdPrefix = "run-";
-constexpr std::size_t kIdMax = 64;  // characters
+constexpr std::size_t kIdMaxCharacters = 64;
 
 }  // namespace
 
 bool valid_job_id(const std::string& id) {
   if (!id.starts_with(kIdPrefix)) return false;
-  if (id.size() == kIdPrefix.size() || id.size() > kIdMax) return false;
+  if (id.size() == kIdPrefix.size() || id.size() > kIdMaxCharacters) return false;
   return id.find_first_not_of("0123456789", kIdPrefix.size()) == std::string::npos;
 }
 
@@ -43,14 +43,14 @@
 }
 
 std::string job_answer(const std::string& id, JobPhase phase) {
-  return object([&](Writer& writer) {
+  return encode_object([&](Writer& writer) {
     put(writer, wire::job::kId, id);
     put(writer, wire::job::kPhase, std::string(phase_name(phase)));
   });
 }
 
 std::string job_status(const std::string& id, const JobStatus& status) {
-  return object([&](Writer& writer) {
+  return encode_object([&](Writer& writer) {
     put(writer, wire::job::kId, id);
     put(writer, wire::job::kPhase, std::string(phase_name(status.phase)));
     put(writer, wire::job::kTasksDone, std::uint64_t{status.done});
@@ -59,7 +59,7 @@
 }
 
 std::string error_body(const std::string& text) {
-  return object([&](Writer& writer) { put(writer, wire::job::kError, text); });
+  return encode_object([&](Writer& writer) { put(writer, wire::job::kError, text); });
 }
 
 }  // namespace eiderreel::codec
--- a/src/codec/job_json.h
+++ b/src/codec/job_json.h
@@ -1,4 +1,5 @@
-// Jobs as users submit and see them, in JSON; section "Users -> controller nodes" of the protocol.
+// JSON codec of the users' API for jobs. See the section "Users -> controller nodes" of the
+// protocol.
 #pragma once
 #include <optional>
 #include <string>
@@ -7,24 +8,25 @@
 
 namespace eiderreel::codec {
 
-/// A submission, and what is wrong with it.
+/// The result of parsing a submission.
 struct ParsedJob {
-  // Also there if the prerequisites alone are invalid: the job may be known, whatever they say.
+  // Also set if only the prerequisites are invalid, because the job may already be known: such a
+  // submission is a repetition, whatever its prerequisites.
   std::optional<JobSpec> spec;
-  std::string error;  // what is wrong, as the user is told; empty: nothing
+  std::string error;  // error message for the user; empty: the submission is valid
 };
 
-/// The body of "POST /v1/jobs".
+/// Parses the body of "POST /v1/jobs".
 ParsedJob parse_job(const std::string& body);
-/// Whether the id has the form that all ids of jobs have: `run-` and 1 to 60 digits.
+/// Whether the id has the format of job ids: `run-` and 1 to 60 digits.
 bool valid_job_id(const std::string& id);
-/// The answer to an accepted submission or a cancellation.
+/// The body of the answer to an accepted submission or to a cancellation.
 std::string job_answer(const std::string& id, JobPhase phase);
-/// The answer to "GET /v1/jobs/{id}".
+/// The body of the answer to "GET /v1/jobs/{id}".
 std::string job_status(const std::string& id, const JobStatus& status);
-/// The body of an answer that tells of an error.
+/// The body of an answer with an error message.
 std::string error_body(const std::string& text);
-/// The name of a phase, for users and in records.
+/// The name of a phase, as used in answers to users and in records.
 const char* phase_name(JobPhase phase);
 
 }  // namespace eiderreel::codec
--- a/src/codec/json_fields.cc
+++ b/src/codec/json_fields.cc
@@ -1,4 +1,4 @@
-// Reading and writing of JSON fields.
+// Reading and writing of JSON fields with RapidJSON.
 #include "codec/json_fields.h"
 
 #include <rapidjson/error/en.h>
@@ -7,41 +7,41 @@
 
 namespace eiderreel::codec::fields {
 
-bool parse(Doc& document, const std::string& body) {
-  document.Parse<kFlags>(body.data(), body.size());
+bool parse_json_object(Doc& document, const std::string& body) {
+  document.Parse<kParseFlags>(body.data(), body.size());
   return !document.HasParseError() && document.IsObject();
 }
 
 Decoded<Doc> parse_object(const std::string& body) {
   Doc document;
-  if (parse(document, body)) return document;
+  if (parse_json_object(document, body)) return document;
   if (!document.HasParseError())
     return tl::unexpected<DecodeError>({DecodeFault::not_an_object, "", ""});
   const std::string reason = rapidjson::GetParseError_En(document.GetParseError());
   return tl::unexpected<DecodeError>({DecodeFault::not_json, "", reason});
 }
 
-const Value* field(const Value& object, const char* name) {
+const Value* find_field(const Value& object, const char* name) {
   const auto member = object.FindMember(name);
   return member == object.MemberEnd() || member->value.IsNull() ? nullptr : &member->value;
 }
 
 bool get(const Value& object, const char* name, std::string& out) {
-  const Value* value = field(object, name);
+  const Value* value = find_field(object, name);
   if (value == nullptr || !value->IsString()) return false;
-  out = text_of(*value);
+  out = string_value(*value);
   return true;
 }
 
 bool get(const Value& object, const char* name, bool& out) {
-  const Value* value = field(object, name);
+  const Value* value = find_field(object, name);
   if (value == nullptr || !value->IsBool()) return false;
   out = value->GetBool();
   return true;
 }
 
 bool get(const Value& object, const char* name, double& out) {
-  const Value* value = field(object, name);
+  const Value* value = find_field(object, name);
   if (value == nullptr || !value->IsNumber()) return false;
   const double number = value->GetDouble();
   if (!std::isfinite(number)) return false;
@@ -50,33 +50,35 @@
 }
 
 bool get(const Value& object, const char* name, std::uint64_t& out) {
-  const Value* value = field(object, name);
+  const Value* value = find_field(object, name);
   if (value == nullptr || !value->IsUint64()) return false;
   out = value->GetUint64();
   return true;
 }
 
 bool get(const Value& object, const char* name, int& out) {
-  const Value* value = field(object, name);
+  const Value* value = find_field(object, name);
   if (value == nullptr || !value->IsInt()) return false;
   out = value->GetInt();
   return true;
 }
 
-std::string text_of(const Value& string) { return {string.GetString(), string.GetStringLength()}; }
+std::string string_value(const Value& string) {
+  return {string.GetString(), string.GetStringLength()};
+}
 
-std::optional<std::vector<std::string>> all_strings(const Value& list) {
+std::optional<std::vector<std::string>> parse_strings(const Value& list) {
   if (!list.IsArray()) return std::nullopt;
-  auto strings = only_strings(list);
+  auto strings = string_elements(list);
   if (strings.size() != list.Size()) return std::nullopt;
   return strings;
 }
 
-std::vector<std::string> only_strings(const Value& list) {
+std::vector<std::string> string_elements(const Value& list) {
   std::vector<std::string> strings;
   if (!list.IsArray()) return strings;
   for (const auto& element : list.GetArray())
-    if (element.IsString()) strings.push_back(text_of(element));
+    if (element.IsString()) strings.push_back(string_value(element));
   return strings;
 }
 
--- a/src/codec/progress_form.h
+++ b/src/codec/progress_form.h
@@ -1,5 +1,5 @@
-// The two forms in which the done tasks of an array are stored: bits as text, and Roaring bitmaps.
-// The numbers of tasks are counted from `first` on.
+// Encodings of the set of finished tasks of a job array: bits as text, and Roaring bitmaps. Both
+// store task indexes relative to `first`.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -10,19 +10,20 @@
 
 namespace eiderreel::codec {
 
-/// Tasks that one character of the bits form tells of.
-constexpr std::uint32_t kBitsPerDigit = 6;
+/// Tasks (bits) that one character of the bits form encodes.
+constexpr std::uint32_t kBitsPerCharacter = 6;
 
-/// The bits form: six to a character, the lowest bit first.
+/// Encodes tasks in the bits form: six bits per character, least significant bit first.
 std::string pack_bits(const std::vector<std::uint32_t>& tasks, std::uint32_t first);
-/// How many characters `pack_bits` needs for so many tasks.
-std::size_t packed_size(std::uint32_t tasks);
-/// The tasks in the bits form, at most a chunk of them; characters that are no digits count as 0.
+/// The number of characters that `pack_bits` needs for `tasks` consecutive tasks.
+std::size_t packed_length(std::uint32_t tasks);
+/// Decodes the bits form, up to the tasks of one chunk. Characters outside the alphabet count as 0.
 std::vector<std::uint32_t> unpack_bits(const std::string& text, std::uint32_t first);
 
-/// A Roaring bitmap in its portable format, as base64 without padding.
+/// Encodes tasks as a Roaring bitmap in its portable format, as base64 without padding.
 std::string pack_roaring(const std::vector<std::uint32_t>& tasks, std::uint32_t first);
-/// The tasks of such a bitmap. An error: the text is none, or holds more than a job may have.
+/// Decodes a Roaring bitmap. Returns an error if the text is not such a bitmap, or has more tasks
+/// than a job may have.
 Decoded<std::vector<std::uint32_t>> unpack_roaring(const std::string& text, std::uint32_t first);
 
 }  // namespace eiderreel::codec
--- a/src/codec/record_fields.cc
+++ b/src/codec/record_fields.cc
@@ -1,4 +1,4 @@
-// How the records of the state store are read; state_records.cc writes them.
+// Decoding of state store records; state_records.cc encodes them.
 #include "codec/record_fields.h"
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 using upgrade::ClusterVersion;
 using upgrade::ProgressForm;
 
-// A number above all versions stands for one that is too high for any build.
+// Numbers that do not fit are clamped to the largest version, which no build supports.
 bool get_version(const Value& value, const char* name, ClusterVersion& out) {
   std::uint64_t number = 0;
   if (!get(value, name, number)) return false;
@@ -34,14 +34,14 @@
   return static_cast<Ms>(at_ms);
 }
 
-// The first task that a value of progress tells of. Earlier builds write whole chunks and name them
-// by number.
+// The first task that a progress value covers. Earlier builds write full chunks, identified by the
+// chunk's index.
 std::optional<std::uint32_t> first_task(const Value& value) {
   std::uint64_t chunk = 0;
   std::uint64_t first = 0;
   if (get(value, wire::record::kChunk, chunk) && chunk < constants::kTasksMax)
     first = chunk * constants::kProgressChunkTasks;
-  else if (!get(value, wire::record::kFirst, first))
+  else if (!get(value, wire::record::kFirstTask, first))
     return std::nullopt;
   if (first >= constants::kTasksMax) return std::nullopt;
   return static_cast<std::uint32_t>(first);
@@ -49,9 +49,9 @@
 
 std::optional<upgrade::BuildVersions> build_versions(const Value& value) {
   upgrade::BuildVersions versions;
-  if (!get_version(value, wire::record::kOldest, versions.range.oldest) ||
-      !get_version(value, wire::record::kNewest, versions.range.newest) ||
-      !get_version(value, wire::record::kActing, versions.acting))
+  if (!get_version(value, wire::record::kOldestVersion, versions.range.oldest) ||
+      !get_version(value, wire::record::kNewestVersion, versions.range.newest) ||
+      !get_version(value, wire::record::kActingVersion, versions.acting))
     return std::nullopt;
   get(value, wire::record::kBuild, versions.build);
   return versions;
@@ -81,16 +81,17 @@
 Decoded<NodeRecord> parse_node_record(const Value& value) {
   FieldReader reader(value);
   NodeRecord record;
-  reader.required(wire::record::kBoot, record.boot);
+  reader.required(wire::record::kBootId, record.boot_id);
   reader.required(wire::record::kLeaseId, record.lease_id);
   reader.optional(wire::record::kFeatures, record.features);
   record.versions = build_versions(value);
   return reader.result(std::move(record));
 }
 
-// The record of a job without prerequisites is the job; one with prerequisites holds it.
-Decoded<StoredJob> parse_job_record(const Value& value) {
-  const Value* nested = field(value, wire::record::kJob);
+// The record of a job without prerequisites has the job's fields at its top level; the record of a
+// job with prerequisites has them in a nested object.
+Decoded<JobRecord> parse_job_record(const Value& value) {
+  const Value* nested = find_field(value, wire::record::kJob);
   const Value& job = nested != nullptr && nested->IsObject() ? *nested : value;
   auto spec = parse_spec(job);
   if (!spec) return tl::unexpected(spec.error());
@@ -102,7 +103,7 @@
   }
   std::uint64_t chunks = 0;
   get(value, wire::record::kPrerequisiteChunks, chunks);
-  return StoredJob{std::move(*spec), chunks};
+  return JobRecord{std::move(*spec), chunks};
 }
 
 Decoded<PrerequisiteChunk> parse_prerequisite_chunk(const Value& value) {
@@ -111,35 +112,35 @@
   return PrerequisiteChunk{std::move(*jobs)};
 }
 
-StoredEnd parse_final_record(const Value& value) {
-  StoredEnd end;
+FinalRecord parse_final_record(const Value& value) {
+  FinalRecord record;
   std::string phase;
   if (get(value, wire::record::kPhase, phase))
-    end.phase = named<JobPhase>(phase, wire::job::kPhases);
-  end.at = get_time(value, wire::record::kAtMs);
-  return end;
+    record.phase = enum_value<JobPhase>(phase, wire::job::kPhases);
+  record.at = get_time(value, wire::record::kAtMs);
+  return record;
 }
 
-Decoded<DoneRecord> parse_done_record(const Value& value) {
+Decoded<ProgressRecord> parse_progress_record(const Value& value) {
   const auto first = first_task(value);
-  if (!first) return field_error(DecodeFault::missing_or_invalid, wire::record::kFirst);
-  DoneRecord done;
+  if (!first) return field_error(DecodeFault::missing_or_invalid, wire::record::kFirstTask);
+  ProgressRecord record;
   std::uint64_t form = 0;
   if (get(value, wire::record::kForm, form)) {
-    if (form != kCompactForm) return field_error(DecodeFault::invalid, wire::record::kForm);
-    done.form = ProgressForm::compact;
+    if (form != kCompactFormNumber) return field_error(DecodeFault::invalid, wire::record::kForm);
+    record.form = ProgressForm::compact;
   }
   std::string text;
   if (get(value, wire::record::kBits, text)) {
-    done.tasks = unpack_bits(text, *first);
-    return done;
+    record.tasks = unpack_bits(text, *first);
+    return record;
   }
-  if (done.form != ProgressForm::compact || !get(value, wire::record::kRoaring, text))
+  if (record.form != ProgressForm::compact || !get(value, wire::record::kRoaring, text))
     return field_error(DecodeFault::missing_or_invalid, wire::record::kBits);
   auto tasks = unpack_roaring(text, *first);
   if (!tasks) return tl::unexpected(tasks.error());
-  done.tasks = std::move(*tasks);
-  return done;
+  record.tasks = std::move(*tasks);
+  return record;
 }
 
 Decoded<VersionRecord> parse_version_record(const Value& value) {
@@ -147,10 +148,10 @@
   if (!get_version(value, wire::record::kVersion, record.version) ||
       upgrade::number(record.version) == 0)
     return field_error(DecodeFault::missing_or_invalid, wire::record::kVersion);
-  get_version(value, wire::record::kFrom, record.from);
+  get_version(value, wire::record::kPreviousVersion, record.previous_version);
   record.at = get_time(value, wire::record::kAtMs).value_or(0);
-  get(value, wire::record::kWho, record.who);
-  get(value, wire::record::kRequest, record.request);
+  get(value, wire::record::kRequestedBy, record.requested_by);
+  get(value, wire::record::kRequestId, record.request_id);
   return record;
 }
 
--- a/src/codec/record_fields.h
+++ b/src/codec/record_fields.h
@@ -1,5 +1,5 @@
-// The fields of records in the state store, read from values that are parsed already. An error
-// means that the value holds no such record.
+// Decoding of state store records from parsed JSON values. An error means that the value is not a
+// valid record of its type.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -10,37 +10,38 @@
 
 namespace eiderreel::codec::fields {
 
-/// The number of the compact form. The bits form has none, since builds from before there was
-/// another one wrote none.
-constexpr std::uint64_t kCompactForm = 2;
+/// Number that marks the compact form of progress. The bits form has no number, because builds that
+/// predate the compact form wrote none.
+constexpr std::uint64_t kCompactFormNumber = 2;
 
-/// A job as its record keeps it.
-struct StoredJob {
+/// The content of a job record.
+struct JobRecord {
   JobSpec spec;
-  std::size_t prerequisite_chunks = 0;  // values in which its prerequisites stand; 0: in the record
+  std::size_t prerequisite_chunks =
+      0;  // values that contain the prerequisites; 0: they are in this record
 };
 
-/// How a job ended.
-struct StoredEnd {
+/// The content of a job's final record.
+struct FinalRecord {
   std::optional<JobPhase> phase;
-  std::optional<Ms> at;  // time of day; earlier builds did not write it
+  std::optional<Ms> at;  // wall clock; earlier builds did not write it
 };
 
-/// The records of state_records.h, each from its value.
+/// Parses the claim of a partition's leader.
 Decoded<PartitionRecord> parse_partition_record(const Value& value);
-/// The record of a machine.
+/// Parses the record of a machine.
 Decoded<MachineRecord> parse_machine_record(const Value& value);
-/// The record of a controller.
+/// Parses the record of a controller.
 Decoded<NodeRecord> parse_node_record(const Value& value);
-/// The record of a job, with or without prerequisites.
-Decoded<StoredJob> parse_job_record(const Value& value);
-/// A chunk of the prerequisites of a job.
+/// Parses the record of a job, with or without prerequisites.
+Decoded<JobRecord> parse_job_record(const Value& value);
+/// Parses a chunk of a job's prerequisites.
 Decoded<PrerequisiteChunk> parse_prerequisite_chunk(const Value& value);
-/// The final record of a job; what cannot be read of it is missing.
-StoredEnd parse_final_record(const Value& value);
-/// Done tasks of a job, in either form.
-Decoded<DoneRecord> parse_done_record(const Value& value);
-/// The cluster version and the step that led to it.
+/// Parses the final record of a job. Fields that cannot be read are left empty.
+FinalRecord parse_final_record(const Value& value);
+/// Parses finished tasks of a job, in the bits form or the compact form.
+Decoded<ProgressRecord> parse_progress_record(const Value& value);
+/// Parses the cluster version and the upgrade step that set it.
 Decoded<VersionRecord> parse_version_record(const Value& value);
 
 }  // namespace eiderreel::codec::fields
--- a/src/codec/state_json.cc
+++ b/src/codec/state_json.cc
@@ -1,4 +1,4 @@
-// Requests to the state store and its answers.
+// JSON codec of the state store's API.
 #include "codec/state_json.h"
 
 #include <array>
@@ -15,15 +15,15 @@
 namespace {
 
 void read_partition(const Value& value, StateRow& row) {
-  row.partition = optional_of(parse_partition_record(value));
+  row.partition = to_optional(parse_partition_record(value));
 }
 
 void read_machine(const Value& value, StateRow& row) {
-  row.machine = optional_of(parse_machine_record(value));
+  row.machine = to_optional(parse_machine_record(value));
 }
 
 void read_node(const Value& value, StateRow& row) {
-  row.node = optional_of(parse_node_record(value));
+  row.node = to_optional(parse_node_record(value));
 }
 
 void read_job(const Value& value, StateRow& row) {
@@ -34,21 +34,21 @@
 }
 
 void read_prerequisites(const Value& value, StateRow& row) {
-  row.prerequisites = optional_of(parse_prerequisite_chunk(value));
+  row.prerequisites = to_optional(parse_prerequisite_chunk(value));
 }
 
 void read_final(const Value& value, StateRow& row) {
-  const StoredEnd end = parse_final_record(value);
-  row.final_phase = end.phase;
-  row.final_at = end.at;
+  const FinalRecord record = parse_final_record(value);
+  row.final_phase = record.phase;
+  row.final_at = record.at;
 }
 
-void read_done(const Value& value, StateRow& row) {
-  row.done = optional_of(parse_done_record(value));
+void read_progress(const Value& value, StateRow& row) {
+  row.progress = to_optional(parse_progress_record(value));
 }
 
 void read_version(const Value& value, StateRow& row) {
-  if (row.key == version_key()) row.version = optional_of(parse_version_record(value));
+  if (row.key == version_key()) row.version = to_optional(parse_version_record(value));
 }
 
 void read_text(const Value& value, StateRow& row) {
@@ -59,7 +59,7 @@
 }
 
 struct ValueReader {
-  const char* prefix;  // of the keys
+  const char* prefix;  // of the keys whose values `read` decodes
   void (*read)(const Value& value, StateRow& row);
 };
 
@@ -69,8 +69,8 @@
     ValueReader{wire::key::kNodes, read_node},
     ValueReader{wire::key::kJobs, read_job},
     ValueReader{wire::key::kPrerequisites, read_prerequisites},
-    ValueReader{wire::key::kFinals, read_final},
-    ValueReader{wire::key::kProgress, read_done},
+    ValueReader{wire::key::kFinalRecords, read_final},
+    ValueReader{wire::key::kProgress, read_progress},
     ValueReader{wire::key::kVersion, read_version},
     ValueReader{wire::key::kHistory, read_text},
 };
@@ -82,7 +82,7 @@
     if (row.key.starts_with(reader.prefix)) return reader.read(value, row);
 }
 
-// A row of a list has a key; an event names the key that was written or deleted.
+// A row of a list has a field for its key; an event has a field for the written or the deleted key.
 Decoded<StateRow> read_row(const Value& object) {
   FieldReader reader(object);
   StateRow row;
@@ -90,7 +90,7 @@
   if (!row.deleted && !get(object, wire::store::kKey, row.key))
     reader.required(wire::store::kPut, row.key);
   reader.required(wire::store::kRevision, row.revision);
-  const Value* value = field(object, wire::store::kValue);
+  const Value* value = find_field(object, wire::store::kValue);
   if (!reader.failed() && !row.deleted && value != nullptr) read_value(*value, row);
   return reader.result(std::move(row));
 }
@@ -135,7 +135,7 @@
 }
 
 std::string stored_row(const std::string& key, const std::string& value, std::uint64_t revision) {
-  return object([&](Writer& writer) {
+  return encode_object([&](Writer& writer) {
     put(writer, value.empty() ? wire::store::kDelete : wire::store::kPut, key);
     put(writer, wire::store::kRevision, revision);
     if (!value.empty()) put_raw(writer, wire::store::kValue, value);
@@ -150,34 +150,35 @@
   return parse_number(body, wire::store::kStoreRevision);
 }
 
-std::vector<std::string> parse_failed(const std::string& body) {
+std::vector<std::string> parse_failed_keys(const std::string& body) {
   const auto document = parse_object(body);
   if (!document) return {};
-  const Value* keys = field(*document, wire::store::kFailed);
-  return keys != nullptr ? only_strings(*keys) : std::vector<std::string>{};
+  const Value* keys = find_field(*document, wire::store::kFailedKeys);
+  return keys != nullptr ? string_elements(*keys) : std::vector<std::string>{};
 }
 
 std::string commit_body(const std::vector<Precondition>& preconditions,
                         const std::vector<Write>& writes, std::uint64_t lease_id) {
-  return object([&](Writer& writer) {
+  return encode_object([&](Writer& writer) {
     put_objects(writer, wire::store::kPreconditions, preconditions,
                 [&](const Precondition& precondition) {
                   put(writer, wire::store::kKey, precondition.key);
                   put(writer, wire::store::kRevision, precondition.revision);
                 });
-    put_objects(writer, wire::store::kChanges, writes, [&](const Write& write) {
-      const bool removes = write.value.empty();
-      put(writer, removes ? wire::store::kDelete : wire::store::kPut, write.key);
-      if (removes) return;
+    put_objects(writer, wire::store::kWrites, writes, [&](const Write& write) {
+      const bool deletes = write.value.empty();
+      put(writer, deletes ? wire::store::kDelete : wire::store::kPut, write.key);
+      if (deletes) return;
       put_raw(writer, wire::store::kValue, write.value);
       if (write.lease_bound) put(writer, wire::store::kLeaseId, lease_id);
     });
   });
 }
 
-std::string lease_request_body(Ms life) {
-  return object(
-      [&](Writer& writer) { put(writer, wire::store::kLifeMs, static_cast<std::uint64_t>(life)); });
+std::string lease_request_body(Ms ttl) {
+  return encode_object([&](Writer& writer) {
+    put(writer, wire::store::kLeaseTtlMs, static_cast<std::uint64_t>(ttl));
+  });
 }
 
 }  // namespace eiderreel::codec
--- a/src/codec/state_keys.cc
+++ b/src/codec/state_keys.cc
@@ -1,4 +1,4 @@
-// The keys of the state store.
+// Keys of the state store.
 #include "codec/state_keys.h"
 
 #include "codec/wire_names.h"
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr std::size_t kChunkDigitsMax = 6;  // more than any number of a chunk has
+constexpr std::size_t kChunkIndexMaxDigits = 6;  // more digits than any chunk index has
 
-// The name of a range of tasks within the keys of its job. Whole chunks go by their number, as
-// earlier builds write them.
+// The last segment of the key of a task range. A full chunk is named by its index, as earlier
+// builds do.
 std::string range_name(const TaskRange& range) {
   if (range.whole) return wire::key::kWholeJob;
   if (range.count == constants::kProgressChunkTasks)
@@ -30,20 +30,20 @@
 std::string machine_key(const std::string& id) { return wire::key::kMachines + id; }
 std::string node_key(const std::string& name) { return wire::key::kNodes + name; }
 std::string job_key(const std::string& id) { return wire::key::kJobs + id; }
-std::string final_key(const std::string& id) { return wire::key::kFinals + id; }
+std::string final_key(const std::string& id) { return wire::key::kFinalRecords + id; }
 
-std::string done_prefix(int partition) {
+std::string progress_prefix(int partition) {
   return wire::key::kProgress + std::to_string(partition) + "/";
 }
 
-std::string done_key(int partition, const std::string& id, const TaskRange& range) {
-  return done_prefix(partition) + id + "/" + range_name(range);
+std::string progress_key(int partition, const std::string& id, const TaskRange& range) {
+  return progress_prefix(partition) + id + "/" + range_name(range);
 }
 
 std::string before_final_key(const std::string& id) {
   std::string key = final_key(id);
   --key.back();
-  return key + "~";  // after every id that begins with this, and before the next one
+  return key + "~";  // sorts after every key with this prefix, and before the key of `id`
 }
 
 std::string prerequisite_key(const std::string& id, const std::string& nonce, std::size_t chunk) {
@@ -57,7 +57,7 @@
   const auto nonce_end = key.rfind('/');
   if (job_end == std::string::npos || nonce_end <= job_end) return std::nullopt;
   const std::string chunk = key.substr(nonce_end + 1);
-  if (chunk.empty() || chunk.size() > kChunkDigitsMax) return std::nullopt;
+  if (chunk.empty() || chunk.size() > kChunkIndexMaxDigits) return std::nullopt;
   if (chunk.find_first_not_of("0123456789") != std::string::npos) return std::nullopt;
   return PrerequisiteChunkKey{key.substr(prefix.size(), job_end - prefix.size()),
                               key.substr(job_end + 1, nonce_end - job_end - 1), std::stoul(chunk)};
@@ -65,7 +65,7 @@
 
 std::string key_name(const std::string& key) { return key.substr(key.rfind('/') + 1); }
 
-std::string done_key_job(const std::string& key) {
+std::string progress_key_job(const std::string& key) {
   const auto end = key.rfind('/');
   const auto begin = key.rfind('/', end - 1);
   return key.substr(begin + 1, end - begin - 1);
--- a/src/codec/state_keys.h
+++ b/src/codec/state_keys.h
@@ -1,5 +1,5 @@
-// The keys of the state store. All under `e/` is followed by every node; `d/` (done tasks) is read
-// at failover only.
+// Keys of the state store. Every controller watches all keys under `e/`; keys under `d/` (progress,
+// that is finished tasks) are read at failover only.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -9,44 +9,45 @@
 
 namespace eiderreel::codec {
 
-/// The cluster version.
+/// The key of the cluster version.
 std::string version_key();
-/// The keys that are followed where cluster versions are enabled.
+/// The prefix of the keys that are watched where cluster versions are enabled.
 std::string version_prefix();
-/// The progress of all partitions.
+/// The prefix of the progress of all partitions.
 std::string all_progress_prefix();
-/// The claim of a partition's leader.
+/// The key of the claim of a partition's leader.
 std::string partition_key(int partition);
-/// The partition to which a machine is assigned.
+/// The key of a machine's record, which says to which partition it is assigned.
 std::string machine_key(const std::string& id);
-/// What a controller says of itself.
+/// The key of a controller's record about itself.
 std::string node_key(const std::string& name);
-/// The record of an accepted job.
+/// The key of an accepted job's record.
 std::string job_key(const std::string& id);
-/// The record of a job's end.
+/// The key of a job's final record.
 std::string final_key(const std::string& id);
-/// The progress of a partition's jobs.
-std::string done_prefix(int partition);
-/// The progress of some tasks of a job.
-std::string done_key(int partition, const std::string& id, const TaskRange& range);
-/// The last key that comes before the final record of this job.
+/// The prefix of the progress of a partition's jobs.
+std::string progress_prefix(int partition);
+/// The key of the progress of a range of a job's tasks.
+std::string progress_key(int partition, const std::string& id, const TaskRange& range);
+/// A key that sorts directly before the final record of this job.
 std::string before_final_key(const std::string& id);
-/// Where the prerequisites of a job are kept that do not fit into its record; the nonce is the
-/// record's, so that chunks of another try are never taken for its own.
+/// The key of a chunk of prerequisites that do not fit into the job's record. `nonce` is that of
+/// the record, so that chunks written by another attempt to accept the job are never mixed with
+/// them.
 std::string prerequisite_key(const std::string& id, const std::string& nonce, std::size_t chunk);
 
-/// The parts of such a key.
+/// The parts of the key of a prerequisite chunk.
 struct PrerequisiteChunkKey {
   std::string job;
   std::string nonce;
   std::size_t chunk = 0;
 };
-/// Nothing: the key has not this form.
+/// Parses the key of a prerequisite chunk. Returns nothing if the key has another format.
 std::optional<PrerequisiteChunkKey> parse_prerequisite_key(const std::string& key);
 
 /// The last segment of a key.
 std::string key_name(const std::string& key);
-/// The job whose progress is kept under a key.
-std::string done_key_job(const std::string& key);
+/// The id of the job whose progress is stored under a key.
+std::string progress_key_job(const std::string& key);
 
 }  // namespace eiderreel::codec
--- a/src/codec/state_records.cc
+++ b/src/codec/state_records.cc
@@ -1,4 +1,4 @@
-// How the records of the state store are written; record_fields.cc reads them.
+// Encoding of state store records; record_fields.cc decodes them.
 #include "codec/state_records.h"
 
 #include <algorithm>
@@ -20,11 +20,11 @@
 using upgrade::ClusterVersion;
 using upgrade::ProgressForm;
 
-template <class Fill>
-std::string encode_record(const std::string& nonce, const Fill& fill) {
-  return object([&](Writer& writer) {
+template <class WriteFields>
+std::string encode_record(const std::string& nonce, const WriteFields& write_fields) {
+  return encode_object([&](Writer& writer) {
     put(writer, wire::record::kNonce, nonce);
-    fill(writer);
+    write_fields(writer);
   });
 }
 
@@ -32,8 +32,8 @@
   put(writer, name, std::uint64_t{upgrade::number(version)});
 }
 
-// A build that knows no prerequisites would start the job at once. It finds none of the
-// job's fields in such a record, and leaves the job alone.
+// Writes the job's fields into a nested object. A build without support for prerequisites would
+// start the job at once; as it finds no job fields at the top level, it ignores the record.
 void put_nested_job(Writer& writer, const JobSpec& spec) {
   writer.Key(wire::record::kJob);
   writer.StartObject();
@@ -45,17 +45,17 @@
   if (!range.whole && range.count == constants::kProgressChunkTasks)
     put(writer, wire::record::kChunk, std::uint64_t{range.first / constants::kProgressChunkTasks});
   else
-    put(writer, wire::record::kFirst, std::uint64_t{range.first});
+    put(writer, wire::record::kFirstTask, std::uint64_t{range.first});
 }
 
-// A Roaring bitmap, or bits where these are shorter, as for many short arrays. Bits are read up to
-// a chunk only.
+// Writes a Roaring bitmap, or the bits form where that is shorter, as for many short arrays. The
+// bits form is limited to the tasks of one chunk, because decoders read no more.
 void put_compact(Writer& writer, const std::vector<std::uint32_t>& tasks, std::uint32_t first) {
-  put(writer, wire::record::kForm, kCompactForm);
+  put(writer, wire::record::kForm, kCompactFormNumber);
   const std::string roaring = pack_roaring(tasks, first);
   const std::uint32_t last = tasks.empty() ? first : tasks.back();
   const std::uint32_t span = last - first + 1;
-  if (span <= constants::kProgressChunkTasks && packed_size(span) <= roaring.size())
+  if (span <= constants::kProgressChunkTasks && packed_length(span) <= roaring.size())
     put(writer, wire::record::kBits, pack_bits(tasks, first));
   else
     put(writer, wire::record::kRoaring, roaring);
@@ -82,13 +82,13 @@
 
 std::string encode(const NodeRecord& record, const std::string& nonce) {
   return encode_record(nonce, [&](Writer& writer) {
-    put(writer, wire::record::kBoot, record.boot);
+    put(writer, wire::record::kBootId, record.boot_id);
     put(writer, wire::record::kLeaseId, record.lease_id);
     if (record.features > 0) put(writer, wire::record::kFeatures, record.features);
     if (!record.versions) return;
-    put_version(writer, wire::record::kOldest, record.versions->range.oldest);
-    put_version(writer, wire::record::kNewest, record.versions->range.newest);
-    put_version(writer, wire::record::kActing, record.versions->acting);
+    put_version(writer, wire::record::kOldestVersion, record.versions->range.oldest);
+    put_version(writer, wire::record::kNewestVersion, record.versions->range.newest);
+    put_version(writer, wire::record::kActingVersion, record.versions->acting);
     put(writer, wire::record::kBuild, record.versions->build);
   });
 }
@@ -102,10 +102,10 @@
 std::string encode(const VersionRecord& record, const std::string& nonce) {
   return encode_record(nonce, [&](Writer& writer) {
     put_version(writer, wire::record::kVersion, record.version);
-    put_version(writer, wire::record::kFrom, record.from);
+    put_version(writer, wire::record::kPreviousVersion, record.previous_version);
     put(writer, wire::record::kAtMs, static_cast<std::uint64_t>(record.at));
-    put(writer, wire::record::kWho, record.who);
-    put(writer, wire::record::kRequest, record.request);
+    put(writer, wire::record::kRequestedBy, record.requested_by);
+    put(writer, wire::record::kRequestId, record.request_id);
   });
 }
 
@@ -134,8 +134,8 @@
   });
 }
 
-std::string encode_done(const std::vector<std::uint32_t>& tasks, const TaskRange& range,
-                        ProgressForm form, const std::string& nonce) {
+std::string encode_progress(const std::vector<std::uint32_t>& tasks, const TaskRange& range,
+                            ProgressForm form, const std::string& nonce) {
   return encode_record(nonce, [&](Writer& writer) {
     put_range(writer, range);
     if (form == ProgressForm::bits)
@@ -145,14 +145,15 @@
   });
 }
 
-// Whole chunks, as earlier builds have them, wherever those fit.
+// Uses full chunks wherever they fit into a value, for compatibility with earlier builds.
 TaskRange progress_range(std::uint32_t task, std::uint32_t tasks, std::size_t value_bytes) {
-  const std::uint32_t largest = std::min(tasks, constants::kProgressChunkTasks);
-  const std::size_t digits = value_bytes - std::min(value_bytes, constants::kProgressOverhead);
+  const std::uint32_t largest_count = std::min(tasks, constants::kProgressChunkTasks);
+  const std::size_t max_characters =
+      value_bytes - std::min(value_bytes, constants::kProgressOverhead);
   std::uint32_t count = constants::kProgressChunkTasks;
-  if (packed_size(largest) > digits)
-    count =
-        std::max<std::uint32_t>(static_cast<std::uint32_t>(digits) * kBitsPerDigit, kBitsPerDigit);
+  if (packed_length(largest_count) > max_characters)
+    count = std::max<std::uint32_t>(static_cast<std::uint32_t>(max_characters) * kBitsPerCharacter,
+                                    kBitsPerCharacter);
   return {task / count * count, count};
 }
 
--- a/src/codec/state_records.h
+++ b/src/codec/state_records.h
@@ -1,5 +1,5 @@
-// The records that controllers keep in the state store. Their fields on the wire are listed in
-// wire_names.h; "Controller nodes -> state service" in the protocol tells what a store does.
+// Records that controllers keep in the state store. wire_names.h lists their field names; the
+// section "Controller nodes -> state service" of the protocol describes the state store.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -12,80 +12,84 @@
 
 namespace eiderreel::codec {
 
-/// The claim of the controller that leads a partition; it goes with the controller's lease.
+/// The claim of the controller that leads a partition. It is deleted when the controller's lease
+/// ends.
 struct PartitionRecord {
   std::string leader;
   std::uint64_t lease_id = 0;
 };
 
-/// The partition to which a machine is assigned, and what the partition has to know of it.
+/// The partition to which a machine is assigned, and the properties of the machine that the
+/// partition's leader needs.
 struct MachineRecord {
-  int partition = -1;  // -1: released, to be returned
+  int partition = -1;  // -1: released, to be returned to the cloud
   std::string type;
   std::string zone;
-  std::string addr;  // IP:PORT of its worker
+  std::string addr;  // IP:PORT of the worker
   bool spot = false;
 };
 
-/// What a controller says of itself; it goes with the controller's lease.
+/// The record that a controller publishes about itself. It is deleted when the controller's lease
+/// ends.
 struct NodeRecord {
-  std::string boot;  // a name for one run of the process
+  std::string boot_id;  // id of one run of the process
   std::uint64_t lease_id = 0;
-  std::uint64_t features = 0;  // see constants::kFeatures; 0: a build from before there were any
-  // Nothing: a build from before cluster versions, or one that takes no part in them.
+  std::uint64_t features = 0;  // bit set, see constants::kFeatures; 0: the build predates features
+  // Empty if the build predates cluster versions, or the controller does not take part in them.
   std::optional<upgrade::BuildVersions> versions = std::nullopt;
 };
 
-/// The finished tasks of a job, in one range of its tasks.
-struct DoneRecord {
+/// The finished tasks within one range of a job's tasks.
+struct ProgressRecord {
   std::vector<std::uint32_t> tasks;
   upgrade::ProgressForm form = upgrade::ProgressForm::bits;
 };
 
-/// The durable cluster version, and the step that led to it.
+/// The stored cluster version, and the upgrade step that set it.
 struct VersionRecord {
   upgrade::ClusterVersion version = upgrade::kFirstVersion;
-  upgrade::ClusterVersion from = upgrade::kFirstVersion;
-  Ms at = 0;            // time of day
-  std::string who;      // asked for the step
-  std::string request;  // its name, chosen by who asked
+  upgrade::ClusterVersion previous_version = upgrade::kFirstVersion;
+  Ms at = 0;                 // wall clock
+  std::string requested_by;  // operator or automation that requested the step
+  std::string request_id;    // id of the request, chosen by the requester
 };
 
-/// Prerequisites of a job that names more than fit into its record.
+/// Some of the prerequisites of a job whose prerequisites do not fit into its record.
 struct PrerequisiteChunk {
   std::vector<std::string> jobs;
 };
 
-/// Tasks of a job whose progress shares a value. A job with more tasks than fit into one has
-/// several.
+/// A range of a job's tasks whose progress is stored in one value. A job with more tasks than fit
+/// into one value has several ranges.
 struct TaskRange {
   std::uint32_t first = 0;
   std::uint32_t count = 0;
-  bool whole = false;  // all tasks of the job, however many; compact progress only
+  bool whole = false;  // true: all tasks of the job; used by the compact form only
   bool operator<(const TaskRange& other) const { return first < other.first; }
 };
 
-/// The range that holds a task of a job with so many, for values of at most so many bytes.
+/// The range that contains `task` in a job of `tasks` tasks, for values of at most `value_bytes`.
 TaskRange progress_range(std::uint32_t task, std::uint32_t tasks, std::size_t value_bytes);
 
-/// The value of a record. The nonce tells a write of one's own from those of others.
+/// Encodes a record as the value of its key: a partition leader's claim. In all records, the nonce
+/// lets a writer tell its own write from those of others.
 std::string encode(const PartitionRecord& record, const std::string& nonce);
-/// The value of a machine.
+/// Encodes the record of a machine.
 std::string encode(const MachineRecord& record, const std::string& nonce);
-/// The value of a controller.
+/// Encodes the record of a controller.
 std::string encode(const NodeRecord& record, const std::string& nonce);
-/// The value of a chunk of prerequisites.
+/// Encodes a chunk of prerequisites.
 std::string encode(const PrerequisiteChunk& record, const std::string& nonce);
-/// The value of the cluster version.
+/// Encodes the record of the cluster version.
 std::string encode(const VersionRecord& record, const std::string& nonce);
-/// The record of an accepted job, with all of its prerequisites.
+/// Encodes the record of an accepted job, with all of its prerequisites.
 std::string encode(const JobSpec& spec, const std::string& nonce);
-/// The record of a job whose prerequisites stand in so many values of their own.
+/// Encodes the record of a job whose prerequisites are stored in `chunks` values of their own.
 std::string encode_with_chunks(const JobSpec& spec, std::size_t chunks, const std::string& nonce);
-/// The record of a job's end.
+/// Encodes the final record of a job.
 std::string encode_final(JobPhase phase, Ms at, const std::string& nonce);
-/// The finished tasks of a range, in ascending order.
-std::string encode_done(const std::vector<std::uint32_t>& tasks, const TaskRange& range,
-                        upgrade::ProgressForm form, const std::string& nonce);
+/// Encodes the finished tasks of a range. `tasks` must be in ascending order.
+std::string encode_progress(const std::vector<std::uint32_t>& tasks, const TaskRange& range,
+                            upgrade::ProgressForm form, const std::string& nonce);
 
 }  // namespace eiderreel::codec
--- a/src/codec/worker_json.cc
+++ b/src/codec/worker_json.cc
@@ -1,4 +1,4 @@
-// Heartbeats of workers, and the commands for them.
+// JSON codec of heartbeats from workers and commands to workers.
 #include "codec/worker_json.h"
 
 #include <cstddef>
@@ -13,18 +13,18 @@
 
 namespace {
 
-constexpr std::size_t kIndexDigitsMax = 7;  // more than any index of a task has
+constexpr std::size_t kTaskIndexMaxDigits = 7;  // more digits than any task index has
 
 std::string task_name(const std::string& job, std::uint32_t index) {
   return job + "/" + std::to_string(index);
 }
 
-// The opposite of task_name; false: the name has not this form.
+// Parses the format written by task_name. Returns false if the name has another format.
 bool parse_task_name(const std::string& name, TaskStatus& task) {
   const auto slash = name.rfind('/');
   if (slash == std::string::npos) return false;
   const std::string digits = name.substr(slash + 1);
-  if (digits.empty() || digits.size() > kIndexDigitsMax) return false;
+  if (digits.empty() || digits.size() > kTaskIndexMaxDigits) return false;
   if (digits.find_first_not_of("0123456789") != std::string::npos) return false;
   task.job = name.substr(0, slash);
   task.index = static_cast<std::uint32_t>(std::stoul(digits));
@@ -41,17 +41,17 @@
   reader.check(wire::worker::kTask, parse_task_name(name, task));
   reader.required(wire::worker::kAttempt, task.attempt);
   reader.required(wire::worker::kPhase, phase);
-  // An unknown phase of a task on the machine counts as running: it holds its room.
-  task.phase = named<TaskPhase>(phase, wire::worker::kPhases).value_or(TaskPhase::running);
+  // A task in an unknown phase counts as running, because it still occupies its resources.
+  task.phase = enum_value<TaskPhase>(phase, wire::worker::kPhases).value_or(TaskPhase::running);
   if (get(object, wire::worker::kExitReason, exit_reason))
     task.exit_reason =
-        named<ExitReason>(exit_reason, wire::worker::kExitReasons).value_or(ExitReason::error);
+        enum_value<ExitReason>(exit_reason, wire::worker::kExitReasons).value_or(ExitReason::error);
   return reader.result(std::move(task));
 }
 
 void put_commands(Writer& writer, const std::vector<Command>& commands) {
   put_objects(writer, wire::worker::kCommands, commands, [&](const Command& command) {
-    put(writer, wire::worker::kCommandType, name_of(command.type, wire::worker::kCommandTypes));
+    put(writer, wire::worker::kCommandType, enum_name(command.type, wire::worker::kCommandTypes));
     put(writer, wire::worker::kTask, task_name(command.job, command.index));
     put(writer, wire::worker::kAttempt, command.attempt);
     if (command.type == CommandType::kill) put(writer, wire::worker::kGraceS, command.grace_s);
@@ -74,7 +74,7 @@
   reader.required(wire::worker::kSequence, heartbeat.sequence);
   reader.required(wire::worker::kFencingToken, heartbeat.fencing_token);
   double notice_s = 0;
-  if (get(*document, wire::worker::kNoticeS, notice_s)) heartbeat.notice_s = notice_s;
+  if (get(*document, wire::worker::kTerminationNoticeS, notice_s)) heartbeat.notice_s = notice_s;
   auto tasks = parse_objects(*document, wire::worker::kTasks, parse_task);
   if (!tasks) return tl::unexpected(tasks.error());
   heartbeat.tasks = std::move(*tasks);
@@ -83,7 +83,7 @@
 
 std::string heartbeat_reply_body(std::uint64_t fencing_token,
                                  const std::vector<Command>& commands) {
-  return object([&](Writer& writer) {
+  return encode_object([&](Writer& writer) {
     put(writer, wire::worker::kFencingToken, fencing_token);
     put_commands(writer, commands);
   });
@@ -91,15 +91,15 @@
 
 std::string commands_body(std::uint64_t fencing_token, std::uint64_t incarnation,
                           const std::vector<Command>& commands) {
-  return object([&](Writer& writer) {
+  return encode_object([&](Writer& writer) {
     put(writer, wire::worker::kFencingToken, fencing_token);
     put(writer, wire::worker::kIncarnation, incarnation);
     put_commands(writer, commands);
   });
 }
 
-std::string upstream_body(const std::string& node) {
-  return object([&](Writer& writer) { put(writer, wire::worker::kRedirect, node); });
+std::string redirect_body(const std::string& node) {
+  return encode_object([&](Writer& writer) { put(writer, wire::worker::kRedirectNode, node); });
 }
 
 }  // namespace eiderreel::codec
--- a/src/codec/worker_json.h
+++ b/src/codec/worker_json.h
@@ -1,5 +1,5 @@
-// Heartbeats of workers and the replies to them, in JSON; sections "Workers -> controller nodes"
-// and "Controller nodes -> workers" of the protocol.
+// JSON codec of heartbeats from workers and commands to workers. See the sections "Workers ->
+// controller nodes" and "Controller nodes -> workers" of the protocol.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -10,14 +10,14 @@
 
 namespace eiderreel::codec {
 
-/// The body of "POST /v1/report".
+/// Parses the body of "POST /v1/report".
 Decoded<Heartbeat> parse_heartbeat(const std::string& body);
-/// The answer to a heartbeat, with commands in the order in which the worker executes them.
+/// The body of the reply to a heartbeat. The worker executes the commands in the given order.
 std::string heartbeat_reply_body(std::uint64_t fencing_token, const std::vector<Command>& commands);
-/// The body of "POST /commands". The worker refuses it if its incarnation is another one.
+/// The body of "POST /commands". The worker refuses the request if its own incarnation differs.
 std::string commands_body(std::uint64_t fencing_token, std::uint64_t incarnation,
                           const std::vector<Command>& commands);
-/// The body of a 421, which sends the worker to another node.
-std::string upstream_body(const std::string& node);
+/// The body of a 421 reply, which redirects the worker to another controller.
+std::string redirect_body(const std::string& node);
 
 }  // namespace eiderreel::codec
--- a/src/fleet/machine_inventory.cc
+++ b/src/fleet/machine_inventory.cc
@@ -125,7 +125,7 @@
 bool MachineInventory::is_stuck(const codec::ListedMachine& machine) const {
   if (machine.phase != kStarting) return false;
   const MachineType* type = catalog_.find(machine.type);
-  return type != nullptr && machine.held_s > type->boot_s * k::kStuckBoots;
+  return type != nullptr && machine.rental_age_s > type->boot_s * k::kStuckBoots;
 }
 
 std::vector<MachineInventory::PendingMachine> MachineInventory::pending_machines() const {
--- a/src/leadership/heartbeat_router.cc
+++ b/src/leadership/heartbeat_router.cc
@@ -80,7 +80,7 @@
   const auto stored = partitions.find(partition);
   if (stored == partitions.end() || stored->second.leader == settings_.node)
     return reply(http_status::kServiceUnavailable, "");
-  reply(http_status::kMisdirectedRequest, codec::upstream_body(stored->second.leader));
+  reply(http_status::kMisdirectedRequest, codec::redirect_body(stored->second.leader));
 }
 
 // Silence is no proof that the leader has stopped, so in the end the worker is told its name all
--- a/src/leadership/partition_activation.cc
+++ b/src/leadership/partition_activation.cc
@@ -36,7 +36,7 @@
 
 void PartitionActivation::load_progress(const LeadershipTerm& term) {
   if (!led_.find(term)) return;
-  state_store_.list(codec::done_prefix(term.partition), [this, term](const auto& rows) {
+  state_store_.list(codec::progress_prefix(term.partition), [this, term](const auto& rows) {
     LedPartition* led = led_.find(term);
     if (!led) return;
     if (!rows) {
@@ -52,7 +52,7 @@
   const auto& jobs = state_store_.view().jobs;
   DoneTasks done;
   for (const auto& row : rows) {
-    const std::string job = codec::done_key_job(row.key);
+    const std::string job = codec::progress_key_job(row.key);
     // Progress is written under a claim: of a job accepted before ours, so one that is not open is
     // over.
     if (!jobs.contains(job)) {
@@ -66,7 +66,7 @@
       continue;
     }
     std::vector<std::uint32_t>& tasks = done[job];
-    tasks.insert(tasks.end(), row.done->tasks.begin(), row.done->tasks.end());
+    tasks.insert(tasks.end(), row.progress->tasks.begin(), row.progress->tasks.end());
   }
   return done;
 }
--- a/src/leadership/progress_plan.cc
+++ b/src/leadership/progress_plan.cc
@@ -16,13 +16,13 @@
 }
 
 std::string key_of(const ProgressOfJob& job, const TaskRange& range) {
-  return codec::done_key(job.partition, job.id, range);
+  return codec::progress_key(job.partition, job.id, range);
 }
 
 ProgressValue value_of(const ProgressOfJob& job, const TaskRange& range, ProgressForm form,
                        const std::string& nonce) {
   const auto done = job.done(range.first, range.count);
-  return {key_of(job, range), codec::encode_done(done, range, form, nonce), form};
+  return {key_of(job, range), codec::encode_progress(done, range, form, nonce), form};
 }
 
 // The one value for all tasks, where the job may have it and it fits.
@@ -62,8 +62,8 @@
 StoredProgress stored_progress(const codec::StateRow& row) {
   StoredProgress stored;
   stored.revision = row.revision;
-  if (row.done) stored.form = row.done->form;
-  stored.unreadable = row.revision != 0 && !row.done;
+  if (row.progress) stored.form = row.progress->form;
+  stored.unreadable = row.revision != 0 && !row.progress;
   return stored;
 }
 
--- a/src/state_store/compare_and_swapper.cc
+++ b/src/state_store/compare_and_swapper.cc
@@ -85,7 +85,7 @@
                                     const std::optional<codec::Precondition>& version_guard,
                                     const HttpReply& reply) {
   if (version_guard &&
-      codec::parse_failed(reply.body) == std::vector<std::string>{version_guard->key}) {
+      codec::parse_failed_keys(reply.body) == std::vector<std::string>{version_guard->key}) {
     on_version_changed(swap, version_guard->revision);
     return;
   }
--- a/src/state_store/controller_lease.cc
+++ b/src/state_store/controller_lease.cc
@@ -42,7 +42,7 @@
 std::uint64_t ControllerLease::earlier_lease() const {
   const auto& nodes = replica_.view().nodes;
   const auto node = nodes.find(settings_.node);
-  if (node == nodes.end() || node->second.record.boot == runtime_.boot_id()) return 0;
+  if (node == nodes.end() || node->second.record.boot_id == runtime_.boot_id()) return 0;
   return node->second.record.lease_id;
 }
 
--- a/src/state_store/node_record_writer.cc
+++ b/src/state_store/node_record_writer.cc
@@ -39,7 +39,7 @@
 
 codec::NodeRecord NodeRecordWriter::record() const {
   const upgrade::ActingVersion& acting_version = dependencies_.acting_version;
-  codec::NodeRecord record{.boot = dependencies_.runtime.boot_id(),
+  codec::NodeRecord record{.boot_id = dependencies_.runtime.boot_id(),
                            .lease_id = dependencies_.lease.id(),
                            .features = k::kFeatures,
                            .versions = std::nullopt};
--- a/src/state_store/replicated_view.cc
+++ b/src/state_store/replicated_view.cc
@@ -124,7 +124,7 @@
   // Under the same lease it has been there all the time, and only names another version now.
   const auto known = view_.nodes.find(name);
   const bool same_lease = known != view_.nodes.end() &&
-                          known->second.record.boot == row.node->boot &&
+                          known->second.record.boot_id == row.node->boot_id &&
                           known->second.record.lease_id == row.node->lease_id;
   const Ms seen = same_lease ? known->second.seen : runtime_.now();
   view_.nodes[name] = {.record = *row.node, .revision = row.revision, .seen = seen};
--- a/src/state_store/store_reader.cc
+++ b/src/state_store/store_reader.cc
@@ -185,7 +185,7 @@
                         return;
                       }
                       Comparison comparison;
-                      if (failed) comparison.failed = codec::parse_failed(reply.body);
+                      if (failed) comparison.failed = codec::parse_failed_keys(reply.body);
                       comparison.store_revision = *revision;
                       done(std::move(comparison));
                     }});
--- a/src/upgrade/coordinator.cc
+++ b/src/upgrade/coordinator.cc
@@ -58,7 +58,7 @@
 // Idempotent request: one that is sent again, since its answer was lost, finds its own step.
 bool Coordinator::is_done_already(const StepOrder& order) const {
   const auto& record = state_store_.view().version_record;
-  return record && record->request == order.request;
+  return record && record->request_id == order.request;
 }
 
 void Coordinator::step(const StepOrder& order, std::function<void(StepAnswer)> done) {
--- a/src/upgrade/progress_census_taker.cc
+++ b/src/upgrade/progress_census_taker.cc
@@ -15,7 +15,7 @@
     if (!rows) return done(std::nullopt);
     std::set<std::string> unknown;
     for (const auto& row : *rows) {
-      std::string job = codec::done_key_job(row.key);
+      std::string job = codec::progress_key_job(row.key);
       if (!state_store_.view().jobs.contains(job)) unknown.insert(std::move(job));
     }
     state_store_.read_ends({unknown.begin(), unknown.end()},
@@ -30,10 +30,10 @@
   const auto& finals = state_store_.view().finals;
   ProgressCensus census;
   for (const auto& row : rows) {
-    if (finals.contains(codec::done_key_job(row.key))) continue;
-    if (!row.done)
+    if (finals.contains(codec::progress_key_job(row.key))) continue;
+    if (!row.progress)
       census.unreadable.push_back(row.key);
-    else if (row.done->form == ProgressForm::compact)
+    else if (row.progress->form == ProgressForm::compact)
       ++census.compact;
     else
       ++census.bits;
--- a/src/upgrade/status_report.cc
+++ b/src/upgrade/status_report.cc
@@ -64,9 +64,9 @@
   report.current = is_current();
   report.cluster = view.cluster;
   if (view.version_record) {
-    report.changed_by = view.version_record->who;
+    report.changed_by = view.version_record->requested_by;
     report.changed_at = view.version_record->at;
-    report.last_request = view.version_record->request;
+    report.last_request = view.version_record->request_id;
   }
   if (step_in_doubt && *step_in_doubt != report.last_request) report.step_in_doubt = step_in_doubt;
   report.controllers = controller_facts(view, settings_);
--- a/src/upgrade/upgrade_json.cc
+++ b/src/upgrade/upgrade_json.cc
@@ -21,9 +21,9 @@
 constexpr std::size_t kMaxReasonLength = 300;  // characters of a reason or an obstacle
 
 bool get_texts(const Value& object, const char* name, std::vector<std::string>& out) {
-  const Value* list = field(object, name);
+  const Value* list = find_field(object, name);
   if (!list) return true;
-  auto texts = all_strings(*list);
+  auto texts = parse_strings(*list);
   if (!texts) return false;
   const bool too_long = std::any_of(texts->begin(), texts->end(), [](const std::string& text) {
     return text.size() > kMaxReasonLength;
@@ -39,7 +39,7 @@
 
 bool get_version(const Value& object, const char* name, ClusterVersion& out) {
   std::uint64_t number = 0;
-  if (!get(object, name, number) || number == 0 || number > static_cast<std::uint64_t>(kAmountMax))
+  if (!get(object, name, number) || number == 0 || number > static_cast<std::uint64_t>(kMaxAmount))
     return false;
   out = static_cast<ClusterVersion>(number);
   return true;
@@ -139,14 +139,14 @@
 
 ParsedStepOrder parse_step_order(const std::string& body) {
   Doc document;
-  if (!parse(document, body)) return {std::nullopt, FieldError{}.text()};
+  if (!parse_json_object(document, body)) return {std::nullopt, FieldError{}.text()};
   auto order = read_order(document);
   if (!order) return {std::nullopt, order.error().text()};
   return {std::move(*order), ""};
 }
 
 std::string encode(const upgrade::StepOrder& order) {
-  return object([&](Writer& writer) {
+  return encode_object([&](Writer& writer) {
     put(writer, "action", std::string(upgrade::to_string(order.step.action)));
     put_version(writer, "from", order.from);
     put(writer, "request", order.request);
@@ -157,18 +157,18 @@
 }
 
 std::string encode(const upgrade::StepPlan& plan) {
-  return object([&](Writer& writer) { put_plan(writer, plan); });
+  return encode_object([&](Writer& writer) { put_plan(writer, plan); });
 }
 
 std::string encode(const upgrade::StepAnswer& answer) {
-  return object([&](Writer& writer) {
+  return encode_object([&](Writer& writer) {
     put(writer, "outcome", std::string(upgrade::to_string(answer.outcome)));
     put_plan(writer, answer.plan);
   });
 }
 
 std::string encode(const upgrade::StatusReport& report) {
-  return object([&](Writer& writer) {
+  return encode_object([&](Writer& writer) {
     put(writer, "controller", report.controller);
     put(writer, "enabled", report.enabled);
     put(writer, "stands_aside", report.standby_reason);
@@ -194,7 +194,7 @@
 }
 
 std::string encode(const upgrade::StepRecord& record, const std::string& nonce) {
-  return object([&](Writer& writer) {
+  return encode_object([&](Writer& writer) {
     put(writer, "n", nonce);
     put_record(writer, record);
   });
@@ -202,7 +202,7 @@
 
 tl::expected<upgrade::StepRecord, FieldError> parse_step_record(const std::string& value) {
   Doc document;
-  if (!parse(document, value)) return tl::make_unexpected(FieldError{});
+  if (!parse_json_object(document, value)) return tl::make_unexpected(FieldError{});
   upgrade::StepRecord record;
   std::uint64_t at_ms = 0;
   if (!get(document, "at_ms", at_ms)) return wrong("at_ms");
@@ -230,7 +230,7 @@
 }
 
 std::string encode(const std::vector<upgrade::StepRecord>& records) {
-  return object([&](Writer& writer) {
+  return encode_object([&](Writer& writer) {
     put_objects(writer, "history", records,
                 [&](const upgrade::StepRecord& record) { put_record(writer, record); });
   });
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -102,13 +102,13 @@
   for (std::uint32_t i = constants::kProgressChunkTasks; i < 2 * constants::kProgressChunkTasks;
        ++i)
     if (i % 3) tasks.push_back(i);
-  const std::string value =
-      codec::encode_done(tasks, {constants::kProgressChunkTasks, constants::kProgressChunkTasks},
-                         upgrade::ProgressForm::bits, "n");
+  const std::string value = codec::encode_progress(
+      tasks, {constants::kProgressChunkTasks, constants::kProgressChunkTasks},
+      upgrade::ProgressForm::bits, "n");
   EXPECT_LT(value.size(), 8192u);
   auto row = codec::parse_row(codec::stored_row("d/0/run-1/1", value, 9));
-  ASSERT_TRUE(row && row->done);
-  EXPECT_EQ(row->done->tasks, tasks);
+  ASSERT_TRUE(row && row->progress);
+  EXPECT_EQ(row->progress->tasks, tasks);
 }
 
 TEST(PeerMessages, EveryMessageRoundTrips) {
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -61,8 +61,8 @@
   EXPECT_FALSE(final_record.final_at);
 
   const auto progress = read("d/2/run-000412/1", kOldProgress);
-  ASSERT_TRUE(progress.done);
-  EXPECT_EQ(progress.done->tasks, (std::vector<std::uint32_t>{32768, 32770, 32779}));
+  ASSERT_TRUE(progress.progress);
+  EXPECT_EQ(progress.progress->tasks, (std::vector<std::uint32_t>{32768, 32770, 32779}));
 }
 
 // The fields that the earlier build asks for are there, whatever else is.
@@ -71,10 +71,10 @@
   EXPECT_EQ(node, R"({"n":"n0.b1.7","boot":"b1","grant":9,"features":1})");
   EXPECT_EQ(codec::encode_final(JobPhase::done, 1764668592000, "n0.b1.7"),
             R"({"n":"n0.b1.7","phase":"done","at_ms":1764668592000})");
-  EXPECT_EQ(codec::encode_done({32768, 32770, 32779}, {32768, 32768}, upgrade::ProgressForm::bits,
-                               "n0.b1.7"),
+  EXPECT_EQ(codec::encode_progress({32768, 32770, 32779}, {32768, 32768},
+                                   upgrade::ProgressForm::bits, "n0.b1.7"),
             kOldProgress);
-  EXPECT_EQ(codec::done_key(2, "run-1", {32768, 32768}), "d/2/run-1/1");
+  EXPECT_EQ(codec::progress_key(2, "run-1", {32768, 32768}), "d/2/run-1/1");
 }
 
 // The earlier build wants every field of a job at the top of its record. It finds none there.
@@ -116,12 +116,12 @@
         std::vector<std::uint32_t> all;
         for (std::uint32_t i = first; i < std::min(tasks, first + range.count); ++i)
           all.push_back(i);
-        const auto value = codec::encode_done(all, range, upgrade::ProgressForm::bits,
-                                              "reelhost-0.0123456789abcdef.1234567");
+        const auto value = codec::encode_progress(all, range, upgrade::ProgressForm::bits,
+                                                  "reelhost-0.0123456789abcdef.1234567");
         EXPECT_LE(value.size(), value_bytes);
-        const auto row = read(codec::done_key(0, "run-1", range), value);
-        ASSERT_TRUE(row.done);
-        read_back.insert(read_back.end(), row.done->tasks.begin(), row.done->tasks.end());
+        const auto row = read(codec::progress_key(0, "run-1", range), value);
+        ASSERT_TRUE(row.progress);
+        read_back.insert(read_back.end(), row.progress->tasks.begin(), row.progress->tasks.end());
         first += range.count;
       }
       EXPECT_EQ(read_back.size(), tasks);
--- a/tests/measure/write_fixtures.cc
+++ b/tests/measure/write_fixtures.cc
@@ -73,8 +73,8 @@
   const std::string nonce = "n0.b1.999";
   values[codec::job_key(every_field_set().id)] = codec::encode(every_field_set(), nonce);
   values[codec::machine_key(kSpotMachine)] = codec::encode(spot_machine(), nonce);
-  values[codec::done_key(1, done_job().id, kLeftOverRange)] =
-      codec::encode_done(left_over_tasks(), kLeftOverRange, upgrade::ProgressForm::bits, nonce);
+  values[codec::progress_key(1, done_job().id, kLeftOverRange)] =
+      codec::encode_progress(left_over_tasks(), kLeftOverRange, upgrade::ProgressForm::bits, nonce);
 }
 
 // The jobs of both days, and the rest as the second day left it; one controller has still the
--- a/tests/stored_state_test.cc
+++ b/tests/stored_state_test.cc
@@ -109,18 +109,19 @@
 void expect_progress(StoredValueReader& stored, int partition, const std::string& job,
                      const codec::TaskRange& range, ProgressText text,
                      const std::vector<std::uint32_t>& all_done) {
-  const auto* row = stored.read(codec::done_key(partition, job, range));
-  ASSERT_TRUE(row && row->done) << job;
+  const auto* row = stored.read(codec::progress_key(partition, job, range));
+  ASSERT_TRUE(row && row->progress) << job;
   std::vector<std::uint32_t> expected;
   std::copy_if(all_done.begin(), all_done.end(), std::back_inserter(expected),
                [&](auto task) { return task >= range.first && task - range.first < range.count; });
-  EXPECT_EQ(row->done->tasks, expected) << row->key;
+  EXPECT_EQ(row->progress->tasks, expected) << row->key;
   const auto form = text == ProgressText::bits ? ProgressForm::bits : ProgressForm::compact;
-  EXPECT_EQ(row->done->form, form) << row->key;
-  const auto value = codec::encode_done(row->done->tasks, range, row->done->form, row->nonce);
+  EXPECT_EQ(row->progress->form, form) << row->key;
+  const auto value =
+      codec::encode_progress(row->progress->tasks, range, row->progress->form, row->nonce);
   EXPECT_EQ(value.find("roaring") != std::string::npos, text == ProgressText::roaring) << value;
   stored.expect_written_again(*row, value);
-  EXPECT_EQ(codec::done_key_job(row->key), job);
+  EXPECT_EQ(codec::progress_key_job(row->key), job);
 }
 
 std::vector<std::uint32_t> done_tasks(const std::string& id) {
@@ -194,7 +195,7 @@
 
     const auto* node = stored.read(codec::node_key(name));
     ASSERT_TRUE(node && node->node);
-    EXPECT_EQ(node->node->boot, "b1");
+    EXPECT_EQ(node->node->boot_id, "b1");
     EXPECT_EQ(node->node->lease_id, lease_id);
     EXPECT_EQ(node->node->features, 1u);
     const auto& versions = node->node->versions;
@@ -213,10 +214,10 @@
   const auto* row = stored.read(codec::version_key());
   ASSERT_TRUE(row && row->version);
   EXPECT_EQ(row->version->version, ClusterVersion::write_compact);
-  EXPECT_EQ(row->version->from, ClusterVersion::base);
+  EXPECT_EQ(row->version->previous_version, ClusterVersion::base);
   EXPECT_EQ(row->version->at, 1024001);
-  EXPECT_EQ(row->version->who, "ops1");
-  EXPECT_EQ(row->version->request, "request-3");
+  EXPECT_EQ(row->version->requested_by, "ops1");
+  EXPECT_EQ(row->version->request_id, "request-3");
   stored.expect_written_again(*row, codec::encode(*row->version, row->nonce));
 }
 
--- a/tests/upgrade/conversion_test.cc
+++ b/tests/upgrade/conversion_test.cc
@@ -34,11 +34,11 @@
     for (const double share : {0.0, 0.001, 0.3, 0.99, 1.0}) {
       const codec::TaskRange range{first, 32768};
       const auto tasks = some_tasks(first, range.count, share, 7);
-      const auto value = codec::encode_done(tasks, range, ProgressForm::compact, "n0.b1.7");
-      const auto row = read(codec::done_key(0, "run-1", range), value);
-      ASSERT_TRUE(row.done) << value;
-      EXPECT_EQ(row.done->form, ProgressForm::compact);
-      EXPECT_EQ(row.done->tasks, tasks);
+      const auto value = codec::encode_progress(tasks, range, ProgressForm::compact, "n0.b1.7");
+      const auto row = read(codec::progress_key(0, "run-1", range), value);
+      ASSERT_TRUE(row.progress) << value;
+      EXPECT_EQ(row.progress->form, ProgressForm::compact);
+      EXPECT_EQ(row.progress->tasks, tasks);
     }
   }
 }
@@ -49,14 +49,14 @@
     for (const double share : {0.01, 0.5, 1.0}) {
       const codec::TaskRange range{0, 32768};
       const auto tasks = some_tasks(0, count, share, count);
-      const auto bits = codec::encode_done(tasks, range, ProgressForm::bits, "n");
-      const auto compact = codec::encode_done(tasks, range, ProgressForm::compact, "n");
+      const auto bits = codec::encode_progress(tasks, range, ProgressForm::bits, "n");
+      const auto compact = codec::encode_progress(tasks, range, ProgressForm::compact, "n");
       EXPECT_LE(compact.size(), bits.size() + sizeof(",\"form\":2"));
     }
   }
   std::vector<std::uint32_t> all(32768);
   for (std::uint32_t i = 0; i < all.size(); ++i) all[i] = i;
-  EXPECT_LT(codec::encode_done(all, {0, 32768}, ProgressForm::compact, "n").size(), 100u);
+  EXPECT_LT(codec::encode_progress(all, {0, 32768}, ProgressForm::compact, "n").size(), 100u);
 }
 
 TEST(CompactProgress, MalformedValuesAreRejected) {
@@ -71,7 +71,7 @@
            R"({"n":"n","chunk":0,"roaring":"Fg"})",
            R"({"n":"n","form":2,"bits":"Fg"})",
        })
-    EXPECT_FALSE(read("d/0/run-1/0", value).done) << value;
+    EXPECT_FALSE(read("d/0/run-1/0", value).progress) << value;
   EXPECT_FALSE(codec::unpack_roaring(codec::pack_roaring({99999}, 0), 5));  // beyond any job
 }
 
@@ -141,7 +141,7 @@
     std::set<std::uint32_t> tasks;
     for (const auto& [key, value] : values_) {
       const auto row = read(key, value);
-      if (row.done) tasks.insert(row.done->tasks.begin(), row.done->tasks.end());
+      if (row.progress) tasks.insert(row.progress->tasks.begin(), row.progress->tasks.end());
     }
     return {tasks.begin(), tasks.end()};
   }
