--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -137,8 +137,8 @@
 
 void JobApi::on_query_reply(const peer_rpc::JobQueryReply& answer) {
   if (answer.status == http_status::kNoAnswer)
-    return finish_query(answer.number, tl::unexpected(JobQueryError::unspecified));
-  finish_query(answer.number, HttpReply{answer.status, answer.body});
+    return finish_query(answer.request_id, tl::unexpected(JobQueryError::unspecified));
+  finish_query(answer.request_id, HttpReply{answer.status, answer.body});
 }
 
 // The first of answer and timeout counts; a late one finds no question.
--- a/src/controller/peer_dispatcher.cc
+++ b/src/controller/peer_dispatcher.cc
@@ -36,7 +36,7 @@
 
   void operator()(const peer_rpc::JobQuery& query) const {
     partition_leader.query_job(query, [node = &dispatcher, from = from,
-                                       number = query.number](const JobQueryResult& result) {
+                                       number = query.request_id](const JobQueryResult& result) {
       node->send(from, job_query_reply(number, result));
     });
   }
--- a/src/leadership/leadership_votes.cc
+++ b/src/leadership/leadership_votes.cc
@@ -38,11 +38,11 @@
     return std::nullopt;
   requested_at_ = now;
   peer_rpc::VoteRequest request;
-  request.number = ++last_request_number_;
+  request.request_id = ++last_request_number_;
   request.ttl = k::kVoteMs;
   request.store_revision = state_store_.view().store_revision;
   request.partitions = std::move(partitions);
-  request_sent_at_[request.number] = now;
+  request_sent_at_[request.request_id] = now;
   while (request_sent_at_.size() > k::kOpenVoteRequests)
     request_sent_at_.erase(request_sent_at_.begin());
   return request;
@@ -50,7 +50,7 @@
 
 // A vote counts from the sending of its request.
 void LeadershipVotes::receive(const std::string& node, const peer_rpc::Vote& vote) {
-  const auto sent_at = request_sent_at_.find(vote.number);
+  const auto sent_at = request_sent_at_.find(vote.request_id);
   if (sent_at == request_sent_at_.end() || !vote.granted) return;
   // Our view stands still while votes let us act. What the peer may have told its users must be
   // known here first: otherwise the tasks of such a job go on until the outage is over.
--- a/src/leadership/machine_transfers.cc
+++ b/src/leadership/machine_transfers.cc
@@ -12,10 +12,12 @@
 // The machines are chosen together, and moved in as few transactions as the state store allows.
 void MachineTransfers::transfer(const peer_rpc::TransferRequest& request) {
   LedPartition* led = led_.find_acting(request.partition);
-  if (!led || request.to == request.partition || request.to >= settings_.partition_count) return;
+  if (!led || request.to_partition == request.partition ||
+      request.to_partition >= settings_.partition_count)
+    return;
   PartitionScheduler& scheduler = *led->scheduler;
   const LeadershipTerm term = led->term();
-  const bool release = request.to < 0;
+  const bool release = request.to_partition < 0;
   Machines batch;
   for (const auto& machine :
        scheduler.idle_machines(request.spot, request.cpus, release, runtime_.now())) {
@@ -23,10 +25,10 @@
       continue;
     batch.push_back(machine);
     if (static_cast<int>(batch.size()) < settings_.batch()) continue;
-    transfer_batch(term, request.to, batch);
+    transfer_batch(term, request.to_partition, batch);
     batch.clear();
   }
-  if (!batch.empty()) transfer_batch(term, request.to, batch);
+  if (!batch.empty()) transfer_batch(term, request.to_partition, batch);
 }
 
 void MachineTransfers::transfer_batch(const LeadershipTerm& term, int to,
--- a/src/leadership/partition_leader.cc
+++ b/src/leadership/partition_leader.cc
@@ -165,8 +165,8 @@
   for (const auto& [partition, led] : std::as_const(led_))
     if (led_.acting(partition))
       status.partition_loads.emplace_back(partition, led.scheduler->load(now));
-  status.use = state_store_.use();
-  status.hears_workers = workers_.hears_workers();
+  status.store_usage = state_store_.use();
+  status.receives_heartbeats = workers_.hears_workers();
   status.features = k::kFeatures;
   status.conversion = conversion();
   hooks_.broadcast(status);
--- a/src/leadership/peer_directory.cc
+++ b/src/leadership/peer_directory.cc
@@ -9,7 +9,7 @@
 
 void PeerDirectory::receive(const std::string& node, const peer_rpc::PeerStatus& status) {
   peers_[node] = {runtime_.now(), status};
-  state_store_.peer_use(node, status.use);
+  state_store_.peer_use(node, status.store_usage);
 }
 
 bool PeerDirectory::is_fresh(const Entry& entry) const {
@@ -23,7 +23,7 @@
 
 bool PeerDirectory::has_lost_workers(const std::string& node) const {
   const auto peer = peers_.find(node);
-  return peer != peers_.end() && !peer->second.status.hears_workers && is_fresh(peer->second);
+  return peer != peers_.end() && !peer->second.status.receives_heartbeats && is_fresh(peer->second);
 }
 
 bool PeerDirectory::any_hears_workers() const {
--- a/src/leadership/vote_granter.cc
+++ b/src/leadership/vote_granter.cc
@@ -15,12 +15,12 @@
   for (const auto& [partition, revision] : request.partitions)
     state_store_.replica().merge_claim(partition, node, revision);
   auto finished = state_store_.replica().finished_since(request.store_revision);
-  if (!finished || !may_vote(node, request)) return {request.number, false, {}};
+  if (!finished || !may_vote(node, request)) return {request.request_id, false, {}};
   const Ms until =
       runtime_.now() + static_cast<Ms>(static_cast<double>(request.ttl) * (1 + k::kDrift));
   for (const auto& [partition, revision] : request.partitions)
     claims_.postpone_until(partition, until);
-  return {request.number, true, std::move(*finished)};
+  return {request.request_id, true, std::move(*finished)};
 }
 
 // A vote is given only while the state store does not answer us either, and only to the leader
--- a/src/peer_rpc/decode.cc
+++ b/src/peer_rpc/decode.cc
@@ -1,4 +1,4 @@
-// Reads messages between nodes from Cap'n Proto, one function for each message.
+// Decodes messages between controllers from Cap'n Proto, with one function per message type.
 #include <capnp/message.h>
 #include <capnp/serialize.h>
 #include <kj/exception.h>
@@ -50,8 +50,8 @@
 
 PeerStatus read(wire::PeerStatus::Reader in) {
   PeerStatus status;
-  status.use = {in.getRequests(), in.getChanges()};
-  status.hears_workers = in.getHearsWorkers();
+  status.store_usage = {in.getRequests(), in.getChanges()};
+  status.receives_heartbeats = in.getHearsWorkers();
   status.features = in.getFeatures();
   if (in.hasConversion()) status.conversion = read(in.getConversion());
   for (auto load : in.getPartitions())
@@ -76,8 +76,8 @@
 
 VoteRequest read(wire::VoteRequest::Reader in) {
   VoteRequest request{in.getNumber(), in.getTtlMs(), {}, in.getStoreRevision()};
-  for (auto led : in.getPartitions())
-    request.partitions.emplace_back(led.getPartition(), led.getRevision());
+  for (auto claim : in.getPartitions())
+    request.partitions.emplace_back(claim.getPartition(), claim.getRevision());
   return request;
 }
 
@@ -109,11 +109,12 @@
     case wire::Envelope::VOTE:
       return read(envelope.getVote());
   }
-  // A message of a later build: as an empty question, which is what earlier builds take it for.
+  // The message has a type that only later builds know. It is decoded as an empty JobQuery, like in
+  // earlier builds.
   return {};
 }
 
-codec::DecodeError error(codec::DecodeFault fault, const std::string& detail) {
+codec::DecodeError decode_error(codec::DecodeFault fault, const std::string& detail) {
   return {fault, "", detail};
 }
 
@@ -122,11 +123,12 @@
 codec::Decoded<Message> decode(const std::string& bytes) {
   using codec::DecodeFault;
   if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0)
-    return tl::unexpected(error(DecodeFault::not_whole_words, ""));
+    return tl::unexpected(decode_error(DecodeFault::not_whole_words, ""));
   auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
   std::memcpy(words.begin(), bytes.data(), bytes.size());
   Message message;
-  // A malformed frame is met by kj's own guard against bad input, not by a crash.
+  // kj throws an exception on malformed input; it is caught, so that a bad frame cannot crash the
+  // process.
   auto exception = kj::runCatchingExceptions([&] {
     capnp::FlatArrayMessageReader reader(words);
     const auto envelope = reader.getRoot<wire::Envelope>();
@@ -134,7 +136,8 @@
     message.body = read_body(envelope);
   });
   KJ_IF_MAYBE (failure, exception) {
-    return tl::unexpected(error(DecodeFault::malformed_message, failure->getDescription().cStr()));
+    return tl::unexpected(
+        decode_error(DecodeFault::malformed_message, failure->getDescription().cStr()));
   }
   return message;
 }
--- a/src/peer_rpc/encode.cc
+++ b/src/peer_rpc/encode.cc
@@ -1,4 +1,4 @@
-// Writes messages between nodes as Cap'n Proto, one function for each message.
+// Encodes messages between controllers as Cap'n Proto, with one function per message type.
 #include <capnp/message.h>
 #include <capnp/serialize.h>
 
@@ -10,7 +10,8 @@
 namespace eiderreel::peer_rpc {
 namespace {
 
-// Lists on the wire have 32-bit sizes; a frame's limit is far below them.
+// The size of a list as a 32-bit number, as Cap'n Proto has it. The cast cannot overflow, since the
+// size limit of a frame is far lower.
 template <class Elements>
 unsigned list_size(const Elements& elements) {
   return static_cast<unsigned>(elements.size());
@@ -18,14 +19,14 @@
 
 void write(wire::Envelope::Builder& envelope, const JobQuery& query) {
   auto out = envelope.initJobQuery();
-  out.setNumber(query.number);
+  out.setNumber(query.request_id);
   out.setCancel(query.cancel);
   out.setJob(query.job);
 }
 
 void write(wire::Envelope::Builder& envelope, const JobQueryReply& reply) {
   auto out = envelope.initJobQueryReply();
-  out.setNumber(reply.number);
+  out.setNumber(reply.request_id);
   out.setStatus(static_cast<std::uint16_t>(reply.status));
   out.setBody(reply.body);
 }
@@ -70,9 +71,9 @@
 
 void write(wire::Envelope::Builder& envelope, const PeerStatus& status) {
   auto out = envelope.initPeerStatus();
-  out.setRequests(status.use.requests);
-  out.setChanges(status.use.changes);
-  out.setHearsWorkers(status.hears_workers);
+  out.setRequests(status.store_usage.requests);
+  out.setChanges(status.store_usage.changes);
+  out.setHearsWorkers(status.receives_heartbeats);
   out.setFeatures(status.features);
   if (status.conversion) write_conversion(out.initConversion(), *status.conversion);
   auto list = out.initPartitions(list_size(status.partition_loads));
@@ -84,7 +85,7 @@
 void write(wire::Envelope::Builder& envelope, const TransferRequest& request) {
   auto out = envelope.initTransferRequest();
   out.setPartition(static_cast<std::uint16_t>(request.partition));
-  out.setTo(static_cast<std::int16_t>(request.to));
+  out.setTo(static_cast<std::int16_t>(request.to_partition));
   out.setCpus(request.cpus);
   out.setSpot(request.spot);
 }
@@ -104,7 +105,7 @@
 
 void write(wire::Envelope::Builder& envelope, const VoteRequest& request) {
   auto out = envelope.initVoteRequest();
-  out.setNumber(request.number);
+  out.setNumber(request.request_id);
   out.setTtlMs(request.ttl);
   out.setStoreRevision(request.store_revision);
   auto list = out.initPartitions(list_size(request.partitions));
@@ -118,7 +119,7 @@
 
 void write(wire::Envelope::Builder& envelope, const Vote& vote) {
   auto out = envelope.initVote();
-  out.setNumber(vote.number);
+  out.setNumber(vote.request_id);
   out.setGranted(vote.granted);
   auto list = out.initFinished(list_size(vote.finished));
   unsigned i = 0;
--- a/src/peer_rpc/messages.h
+++ b/src/peer_rpc/messages.h
@@ -1,4 +1,4 @@
-// Messages between nodes, as values; their form on the wire is Cap'n Proto (peer_messages.capnp).
+// Messages between controllers as C++ values. peer_messages.capnp defines their wire format.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,78 +13,82 @@
 
 namespace eiderreel::peer_rpc {
 
-/// A user's poll or cancellation, passed on to the leader of the job's partition.
+/// A user's status poll or cancellation, forwarded to the leader of the job's partition.
 struct JobQuery {
-  std::uint64_t number = 0;  // of the question; the reply carries it too
-  bool cancel = false;       // else a poll
-  std::string job;
+  std::uint64_t request_id = 0;  // returned in the reply
+  bool cancel = false;           // true: cancel the job; false: poll its status
+  std::string job;               // job id
 };
 
 /// The answer to a JobQuery.
 struct JobQueryReply {
-  std::uint64_t number = 0;
-  int status = 0;  // of HTTP; 0: the node that was asked is not entitled to answer
-  std::string body;
+  std::uint64_t request_id = 0;  // of the JobQuery
+  int status = 0;    // HTTP status; 0: the receiver of the query is not entitled to answer
+  std::string body;  // JSON
 };
 
-/// What each node tells all others at a steady pace.
+/// The status that every controller broadcasts to all others periodically.
 struct PeerStatus {
-  std::vector<std::pair<int, PartitionLoad>> partition_loads;
-  StoreUsage use;              // of the state store by the sender
-  bool hears_workers = true;   // whether the sender hears of workers
-  std::uint64_t features = 0;  // of the sender's build, see constants::kFeatures
-  // Nothing: the sender takes no part in cluster versions.
+  std::vector<std::pair<int, PartitionLoad>>
+      partition_loads;              // of partitions that the sender leads
+  StoreUsage store_usage;           // the sender's use of the state store
+  bool receives_heartbeats = true;  // whether workers' heartbeats reach the sender
+  std::uint64_t features = 0;       // bit set of the sender's build, see constants::kFeatures
+  // Empty if the sender does not take part in cluster versions.
   std::optional<ConversionProgress> conversion = std::nullopt;
 };
 
-/// The cluster leader's advice to a partition's leader: give idle machines to another partition.
+/// Advice of the cluster leader to a partition's leader to transfer idle machines to another
+/// partition.
 struct TransferRequest {
-  int partition = 0;
-  int to = -1;        // -1: release them, to be returned to the cloud
-  double cpus = 0;    // up to so many; the receiver chooses the machines
-  bool spot = false;  // of spot machines, else of on-demand ones
+  int partition = 0;      // that gives the machines
+  int to_partition = -1;  // -1: release the machines, to be returned to the cloud
+  double cpus = 0;        // upper limit; the receiver chooses the machines
+  bool spot = false;      // true: spot machines; false: on-demand machines
 };
 
-/// Machines that the cloud has said to be gone.
+/// Machines that the cloud has reported as terminated.
 struct MachinesTerminated {
-  std::vector<std::string> machines;
+  std::vector<std::string> machines;  // ids
 };
 
-/// The cluster leader's advice to a partition's leader: let machines run empty.
+/// Advice of the cluster leader to a partition's leader to cordon machines: they get no new tasks.
 struct CordonRequest {
   int partition = 0;
-  double cpus = 0;     // about so many; holds for a few seconds
-  bool drain = false;  // also machines with services, which move to others
+  double cpus = 0;     // approximate CPUs to cordon; the advice expires after a few seconds
+  bool drain = false;  // true: also drain machines with services, which move to other machines
 };
 
-/// Asks for a promise not to claim the sender's partitions for a time.
+/// Requests a vote: a promise not to claim the sender's partitions for `ttl`.
 struct VoteRequest {
-  std::uint64_t number = 0;  // of the request; the vote carries it too
+  std::uint64_t request_id = 0;  // returned in the vote
   Ms ttl = 0;
-  std::vector<std::pair<int, std::uint64_t>> partitions;  // the sender's, with their revisions
-  std::uint64_t store_revision = 0;                       // of the sender's view
+  // Partitions that the sender leads, with the revisions of their claims.
+  std::vector<std::pair<int, std::uint64_t>> partitions;
+  std::uint64_t store_revision = 0;  // up to which the sender's view includes all changes
 };
 
 /// The answer to a VoteRequest.
 struct Vote {
-  std::uint64_t number = 0;
+  std::uint64_t request_id = 0;  // of the VoteRequest
   bool granted = false;
-  std::vector<FinishedJob> finished;  // all that ended after the asker's store revision
+  std::vector<FinishedJob> finished;  // jobs that ended after the requester's store revision
 };
 
-/// The content of a message, without its sender.
+/// The payload of a message, without its sender.
 using Body = std::variant<JobQuery, JobQueryReply, PeerStatus, TransferRequest, VoteRequest, Vote,
                           MachinesTerminated, CordonRequest>;
 
-/// A message, and the name of the node that sent it.
+/// A message with the name of the sending controller.
 struct Message {
   std::string from;
   Body body;
 };
 
-/// The frame of a message, without its length.
+/// Encodes a message as a frame, without the length prefix.
 std::string encode(const Message& message);
-/// The message in a frame without its length. Frames of other builds are read as far as known.
+/// Decodes a message from a frame without its length prefix. Fields that this build does not know
+/// are ignored.
 codec::Decoded<Message> decode(const std::string& bytes);
 
 }  // namespace eiderreel::peer_rpc
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -203,7 +203,7 @@
   ASSERT_TRUE(message);
   const auto& status = std::get<peer_rpc::PeerStatus>(message->body);
   EXPECT_EQ(status.features, 0u);
-  EXPECT_FALSE(status.hears_workers);
+  EXPECT_FALSE(status.receives_heartbeats);
   ASSERT_EQ(status.partition_loads.size(), 1u);
   EXPECT_EQ(status.partition_loads[0].second.waiting_cpus, 3.5);
   EXPECT_EQ(status.partition_loads[0].second.waited_s, 7);
--- a/tests/stored_messages_test.cc
+++ b/tests/stored_messages_test.cc
@@ -13,20 +13,20 @@
 
 namespace {
 
-auto fields(const peer_rpc::JobQuery& m) { return std::tie(m.number, m.cancel, m.job); }
-auto fields(const peer_rpc::JobQueryReply& m) { return std::tie(m.number, m.status, m.body); }
+auto fields(const peer_rpc::JobQuery& m) { return std::tie(m.request_id, m.cancel, m.job); }
+auto fields(const peer_rpc::JobQueryReply& m) { return std::tie(m.request_id, m.status, m.body); }
 auto fields(const peer_rpc::TransferRequest& m) {
-  return std::tie(m.partition, m.to, m.cpus, m.spot);
+  return std::tie(m.partition, m.to_partition, m.cpus, m.spot);
 }
 auto fields(const peer_rpc::MachinesTerminated& m) { return std::tie(m.machines); }
 auto fields(const peer_rpc::CordonRequest& m) { return std::tie(m.partition, m.cpus, m.drain); }
 auto fields(const peer_rpc::VoteRequest& m) {
-  return std::tie(m.number, m.ttl, m.partitions, m.store_revision);
+  return std::tie(m.request_id, m.ttl, m.partitions, m.store_revision);
 }
 auto fields(const peer_rpc::Vote& m) {
   std::vector<std::tuple<std::string, JobPhase, std::uint64_t>> closed;
   for (const FinishedJob& job : m.finished) closed.emplace_back(job.id, job.phase, job.revision);
-  return std::tuple(m.number, m.granted, closed);
+  return std::tuple(m.request_id, m.granted, closed);
 }
 auto fields(const PartitionLoad& n) {
   return std::tuple(
@@ -41,9 +41,9 @@
   std::vector<std::pair<int, decltype(fields(PartitionLoad{}))>> partitions;
   for (const auto& [partition, need] : m.partition_loads)
     partitions.emplace_back(partition, fields(need));
-  return std::tuple(partitions, m.use.requests, m.use.changes, m.hears_workers, m.features,
-                    m.conversion.has_value(), c.values_left, c.values_converted, c.unreadable,
-                    c.values_per_s);
+  return std::tuple(partitions, m.store_usage.requests, m.store_usage.changes,
+                    m.receives_heartbeats, m.features, m.conversion.has_value(), c.values_left,
+                    c.values_converted, c.unreadable, c.values_per_s);
 }
 
 std::map<std::string, std::string> read_frames() {
