--- a/src/api/prerequisite_chunk_writer.cc
+++ b/src/api/prerequisite_chunk_writer.cc
@@ -56,7 +56,7 @@
   commit.nonce = upload->nonce;
   std::size_t bytes = 0;
   std::size_t next = upload->written;
-  const auto max_writes = static_cast<std::size_t>(settings_.batch());
+  const auto max_writes = static_cast<std::size_t>(settings_.max_transaction_writes());
   while (next < values.size() && commit.writes.size() < max_writes &&
          (commit.writes.empty() || bytes + values[next].size() <= k::kTransactionBytes)) {
     const std::string key = codec::prerequisite_key(upload->job_id, upload->nonce, next);
--- a/src/config/config_problem.h
+++ b/src/config/config_problem.h
@@ -1,17 +1,17 @@
-// A problem found in a settings file.
+// Problems found in settings files.
 #pragma once
 #include <string>
 
 namespace eiderreel {
 
-/// One thing that is wrong in a settings file.
+/// A missing or invalid field of a settings file, or an error of reading the file.
 struct ConfigProblem {
-  std::string file;     ///< Path as it was given on the command line.
+  std::string file;     ///< Path as given on the command line.
   std::string field;    ///< Dotted path of the field, e.g. "params.teams[0].cpus".
-  std::string message;  ///< What is wrong with it.
+  std::string message;  ///< Description of the problem.
 };
 
-/// The line that operators see: "FILE: FIELD: what is wrong".
+/// The line printed for operators: "FILE: FIELD: MESSAGE".
 std::string to_string(const ConfigProblem& problem);
 
 }  // namespace eiderreel
--- a/src/config/host_port.h
+++ b/src/config/host_port.h
@@ -6,15 +6,15 @@
 
 namespace eiderreel {
 
-/// An address in its two parts. The host is any text; whether it is an IP address is checked
-/// where a socket needs one (see net/address.h).
+/// An address split into host and port. The host may be any text; net/address.h checks that it is
+/// an IP address where a socket needs one.
 struct HostPort {
   std::string host;
   std::uint16_t port = 0;
 };
 
-/// Splits "10.0.0.1:8080" at its last colon. Nothing if the host is empty or the port is not a
-/// decimal number from 1 to 65535.
+/// Splits an address like "10.0.0.1:8080" at its last colon. Returns nothing if the host is empty
+/// or the port is not a decimal number from 1 to 65535.
 std::optional<HostPort> parse_host_port(const std::string& text);
 
 }  // namespace eiderreel
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -1,4 +1,4 @@
-// What follows from the settings: node names, partitions of teams, transaction sizes.
+// Values derived from the settings: node names, partitions of teams, transaction sizes.
 #include "config/settings.h"
 
 #include <algorithm>
@@ -12,9 +12,9 @@
   return names;
 }
 
-int Settings::batch() const {
-  const double changes = state_write_rps * constants::kBatchShare;
-  return std::clamp(static_cast<int>(changes), 1, state_txn_ops);
+int Settings::max_transaction_writes() const {
+  const double max_changes = state_write_rps * constants::kBatchShare;
+  return std::clamp(static_cast<int>(max_changes), 1, state_txn_ops);
 }
 
 int Settings::partition_of_team(const std::string& team) const {
--- a/src/config/upgrade_settings.cc
+++ b/src/config/upgrade_settings.cc
@@ -9,27 +9,28 @@
 namespace eiderreel::upgrade {
 namespace {
 
-// Bounds of conversion_share. With less a conversion would never end; with more the scheduling of
-// jobs would lack changes.
+// Bounds of conversion_share. Below the minimum, a conversion would practically never end; above
+// the maximum, too few changes per second would be left for scheduling jobs.
 constexpr double kConversionShareMin = 0.001;
 constexpr double kConversionShareMax = 0.5;
 
 void read_newest_version(TomlReader& reader, const toml::table& table, VersionRange& range) {
   if (!table.contains("newest_version")) return;
   int newest = static_cast<int>(number(range.newest));
-  reader.whole(table, "upgrade.", "newest_version", static_cast<int>(number(range.oldest)),
-               static_cast<int>(number(range.newest)), newest);
+  reader.integer(table, "upgrade.", "newest_version", static_cast<int>(number(range.oldest)),
+                 static_cast<int>(number(range.newest)), newest);
   range.newest = static_cast<ClusterVersion>(newest);
 }
 
 void read_days(TomlReader& reader, const toml::table& table, const std::string& path,
                MaintenanceWindow& window) {
   const auto* days = table.get_as<toml::array>("days");
-  if (!days || days->empty()) return reader.problem(path + "days", "must be a list of weekdays");
+  if (!days || days->empty())
+    return reader.add_problem(path + "days", "must be a list of weekdays");
   for (const auto& day : *days) {
     const auto weekday = parse_weekday(day.value_or(std::string()));
     if (!weekday)
-      return reader.problem(path + "days", "must be of mon, tue, wed, thu, fri, sat, sun");
+      return reader.add_problem(path + "days", "must be of mon, tue, wed, thu, fri, sat, sun");
     window.days[*weekday] = true;
   }
 }
@@ -37,7 +38,7 @@
 void read_time(TomlReader& reader, const toml::table& table, const std::string& path,
                const char* name, TimeOfDay& out) {
   const auto time = parse_time_of_day(table[name].value_or(std::string()));
-  if (!time) return reader.problem(path + name, "must be a time of day, \"HH:MM\"");
+  if (!time) return reader.add_problem(path + name, "must be a time of day, \"HH:MM\"");
   out = *time;
 }
 
@@ -46,7 +47,7 @@
   const std::string list = "upgrade.automatic.windows";
   const auto* entries = table.get_as<toml::array>("windows");
   if (!entries || entries->empty()) {
-    reader.problem(list, "must be a list of tables");
+    reader.add_problem(list, "must be a list of tables");
     return windows;
   }
   for (std::size_t i = 0; i < entries->size(); ++i) {
@@ -68,12 +69,12 @@
   if (!table) return;
   const std::string path = "upgrade.automatic.";
   const auto enabled = (*table)["enabled"].value_exact<bool>();
-  if (!enabled) reader.problem(path + "enabled", "must be true or false");
+  if (!enabled) reader.add_problem(path + "enabled", "must be true or false");
   out.automatic = enabled.value_or(false);
   std::string time_zone;
   reader.text(*table, path, "time_zone", time_zone);
   if (!time_zone.empty() && !is_time_zone(time_zone))
-    reader.problem(path + "time_zone", "is no time zone of this system");
+    reader.add_problem(path + "time_zone", "is no time zone of this system");
   out.windows = MaintenanceWindows(time_zone, read_windows(reader, *table));
 }
 
--- a/src/fleet/machine_assigner.cc
+++ b/src/fleet/machine_assigner.cc
@@ -86,7 +86,7 @@
     assignment.record = {partition, heartbeat.type, heartbeat.zone, heartbeat.addr, heartbeat.spot};
     assignment.sent = true;
     batch.push_back(id);
-    if (static_cast<int>(batch.size()) < settings_.batch()) continue;
+    if (static_cast<int>(batch.size()) < settings_.max_transaction_writes()) continue;
     send(batch);
     batch.clear();
   }
--- a/src/fleet/machine_terminator.cc
+++ b/src/fleet/machine_terminator.cc
@@ -36,7 +36,8 @@
   const auto& keys = state_store_.view().machines;
   CompareAndSwap commit;
   std::vector<std::string> batch;
-  for (; next != end && static_cast<int>(batch.size()) < settings_.batch(); ++next) {
+  for (; next != end && static_cast<int>(batch.size()) < settings_.max_transaction_writes();
+       ++next) {
     const auto key = keys.find(*next);
     if (key == keys.end() || !changing_.insert(*next).second) continue;
     spdlog::info("machine forgotten machine={}", *next);
--- a/src/leadership/garbage_collector.cc
+++ b/src/leadership/garbage_collector.cc
@@ -6,7 +6,7 @@
 namespace eiderreel {
 
 std::vector<std::string> GarbageCollector::next_keys(LedPartition& led) {
-  const auto most = static_cast<std::size_t>(settings_.batch());
+  const auto most = static_cast<std::size_t>(settings_.max_transaction_writes());
   std::vector<std::string> keys;
   while (!led.garbage_keys.empty() && keys.size() < most) {
     keys.push_back(std::move(led.garbage_keys.back()));
--- a/src/leadership/job_finalizer.cc
+++ b/src/leadership/job_finalizer.cc
@@ -48,7 +48,7 @@
                  {codec::job_key(job), "", false}};
   for (const auto& [key, stored] : progress) {
     if (stored.unreadable) continue;
-    if (static_cast<int>(swap.writes.size()) < settings_.batch())
+    if (static_cast<int>(swap.writes.size()) < settings_.max_transaction_writes())
       swap.writes.push_back({key, "", false});
     else
       commit.left_over.push_back(key);
@@ -118,7 +118,7 @@
 // Every job takes two writes of the transaction.
 std::vector<std::string> JobFinalizer::next_implied_cancellations(LedPartition& led) const {
   const ClusterView& view = state_store_.view();
-  const auto most = static_cast<std::size_t>(std::max(1, settings_.batch() / 2));
+  const auto most = static_cast<std::size_t>(std::max(1, settings_.max_transaction_writes() / 2));
   std::vector<std::string> jobs;
   for (const auto& job : view.dependencies.all_cancelled()) {
     if (jobs.size() == most) break;
--- a/src/leadership/machine_transfers.cc
+++ b/src/leadership/machine_transfers.cc
@@ -24,7 +24,7 @@
     if (!state_store_.view().machines.contains(machine) || !scheduler.begin_transfer(machine))
       continue;
     batch.push_back(machine);
-    if (static_cast<int>(batch.size()) < settings_.batch()) continue;
+    if (static_cast<int>(batch.size()) < settings_.max_transaction_writes()) continue;
     transfer_batch(term, request.to_partition, batch);
     batch.clear();
   }
--- a/src/leadership/progress_recorder.cc
+++ b/src/leadership/progress_recorder.cc
@@ -36,9 +36,9 @@
 void ProgressRecorder::record(LedPartition& led, const std::string& job) {
   led.persistence[job].last_commit_at = runtime_.now();
   const std::string nonce = state_store_.nonce();
-  auto batch = upgrade::batch_to_record(progress_of(led, job), led.scheduler->unrecorded(job),
-                                        state_store_.progress_policy().write,
-                                        static_cast<std::size_t>(settings_.batch()), nonce);
+  auto batch = upgrade::batch_to_record(
+      progress_of(led, job), led.scheduler->unrecorded(job), state_store_.progress_policy().write,
+      static_cast<std::size_t>(settings_.max_transaction_writes()), nonce);
   if (!batch.empty()) commit(led, job, nonce, std::move(batch), false);
 }
 
@@ -61,8 +61,9 @@
   for (const auto& [job, persistence] : led.persistence) {
     if (!is_convertible(led, job, persistence, *policy.convert_to)) continue;
     const std::string nonce = state_store_.nonce();
-    auto batch = upgrade::batch_to_convert(progress_of(led, job), *policy.convert_to,
-                                           static_cast<std::size_t>(settings_.batch()), nonce);
+    auto batch = upgrade::batch_to_convert(
+        progress_of(led, job), *policy.convert_to,
+        static_cast<std::size_t>(settings_.max_transaction_writes()), nonce);
     if (batch.empty()) continue;
     conversion_rate_limiter_.take(batch.size());
     return commit(led, job, nonce, std::move(batch), true);
--- a/src/peer_rpc/messages.h
+++ b/src/peer_rpc/messages.h
@@ -52,7 +52,7 @@
   std::vector<std::string> machines;  // ids
 };
 
-/// Advice of the cluster leader to a partition's leader to cordon machines: they get no new tasks.
+/// Advice of the cluster leader to a partition's leader to cordon machines, so that they run empty.
 struct CordonRequest {
   int partition = 0;
   double cpus = 0;     // approximate CPUs to cordon; the advice expires after a few seconds
--- a/src/peer_rpc/peer_messages.capnp
+++ b/src/peer_rpc/peer_messages.capnp
@@ -83,7 +83,7 @@
   spot @3 :Bool;                          # true: spot machines; false: on-demand machines
 }
 
-struct CordonRequest {                    # advice: cordon machines, they get no new tasks
+struct CordonRequest {                    # advice: cordon machines, so that they run empty
   partition @0 :UInt16;                   # partition number
   cpus @1 :Float64;                       # CPUs; approximate; advice expires after a few seconds
   drain @2 :Bool;                         # true: also machines with services, which move to others
--- a/src/upgrade/step_history.cc
+++ b/src/upgrade/step_history.cc
@@ -62,7 +62,8 @@
     commit.nonce = state_store_.nonce();
     commit.request_priority = RequestPriority::fleet;
     const std::size_t count =
-        std::min(rows->size() - k::kHistoryKept, static_cast<std::size_t>(settings_.batch()));
+        std::min(rows->size() - k::kHistoryKept,
+                 static_cast<std::size_t>(settings_.max_transaction_writes()));
     for (std::size_t i = 0; i < count; ++i) {
       const codec::StateRow& row = (*rows)[i];
       commit.preconditions.push_back({row.key, row.revision});
