--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -60,11 +60,11 @@
 
 void JobApi::reply_final(const std::string& id, JobPhase phase, bool cancel, const Reply& reply) {
   reply(http_status::kOk,
-        cancel ? codec::job_answer(id, phase) : codec::job_status(id, {phase, 0, 0}));
+        cancel ? codec::job_phase_body(id, phase) : codec::job_status_body(id, {phase, 0, 0}));
 }
 
 JobApi::OpenJobReply JobApi::make_queued_reply(const std::string& id, Ms requested_at) {
-  return {requested_at, http_status::kOk, codec::job_status(id, {JobPhase::queued, 0, 0})};
+  return {requested_at, http_status::kOk, codec::job_status_body(id, {JobPhase::queued, 0, 0})};
 }
 
 // Invariant 8: a reply of the leader or the state store about an open job may arrive late. If
@@ -141,8 +141,8 @@
 
 void JobApi::on_query_reply(const peer_rpc::JobQueryReply& answer) {
   if (answer.status == http_status::kNoAnswer)
-    return finish_query(answer.number, tl::unexpected(JobQueryError::unspecified));
-  finish_query(answer.number, HttpReply{answer.status, answer.body});
+    return finish_query(answer.request_id, tl::unexpected(JobQueryError::unspecified));
+  finish_query(answer.request_id, HttpReply{answer.status, answer.body});
 }
 
 // Reply or timeout, whichever comes first, ends the query. A later one finds no pending query and
--- a/src/fleet/machine_inventory.cc
+++ b/src/fleet/machine_inventory.cc
@@ -59,7 +59,7 @@
     current_list_.insert(machine.id);
     machines_[machine.id] = {machine, now};
   }
-  if (page->more && !page->machines.empty()) return read_page(page->machines.back().id);
+  if (page->has_more && !page->machines.empty()) return read_page(page->machines.back().id);
   finish_listing();
   process_list();
 }
@@ -128,7 +128,7 @@
 bool MachineInventory::is_stuck(const codec::ListedMachine& machine) const {
   if (machine.phase != kStarting) return false;
   const MachineType* type = catalog_.find(machine.type);
-  return type != nullptr && machine.held_s > type->boot_s * k::kStuckBootFactor;
+  return type != nullptr && machine.rental_age_s > type->boot_s * k::kStuckBootFactor;
 }
 
 std::vector<MachineInventory::PendingMachine> MachineInventory::pending_machines() const {
--- a/src/fleet/machine_terminator.cc
+++ b/src/fleet/machine_terminator.cc
@@ -38,7 +38,8 @@
   const auto& keys = state_store_.view().machines;
   CompareAndSwap commit;
   std::vector<std::string> batch;
-  for (; next != end && static_cast<int>(batch.size()) < settings_.batch(); ++next) {
+  for (; next != end && static_cast<int>(batch.size()) < settings_.max_transaction_writes();
+       ++next) {
     const auto key = keys.find(*next);
     if (key == keys.end() || !pending_commits_.insert(*next).second) continue;
     spdlog::info("machine forgotten machine={}", *next);
--- a/src/leadership/heartbeat_router.cc
+++ b/src/leadership/heartbeat_router.cc
@@ -82,7 +82,7 @@
   const auto stored = partitions.find(partition);
   if (stored == partitions.end() || stored->second.leader == settings_.node)
     return reply(http_status::kServiceUnavailable, "");
-  reply(http_status::kMisdirectedRequest, codec::upstream_body(stored->second.leader));
+  reply(http_status::kMisdirectedRequest, codec::redirect_body(stored->second.leader));
 }
 
 // Silence does not prove that the leader has stopped, so the worker is redirected to it once the
--- a/src/leadership/job_finalizer.cc
+++ b/src/leadership/job_finalizer.cc
@@ -49,7 +49,7 @@
                  {codec::job_key(job), "", false}};
   for (const auto& [key, stored] : progress) {
     if (stored.unreadable) continue;
-    if (static_cast<int>(swap.writes.size()) < settings_.batch())
+    if (static_cast<int>(swap.writes.size()) < settings_.max_transaction_writes())
       swap.writes.push_back({key, "", false});
     else
       commit.remaining_progress_keys.push_back(key);
@@ -65,7 +65,7 @@
   if (outcome == CasOutcome::ok) {
     spdlog::info("job {} job={} fencing_token={}", codec::phase_name(phase), job,
                  term.fencing_token);
-    return reply(http_status::kOk, codec::job_answer(job, phase));
+    return reply(http_status::kOk, codec::job_phase_body(job, phase));
   }
   LedPartition* led = led_partitions_.find(term);
   if (JobPersistence* persistence = led ? led->find_persistence(job) : nullptr) {
@@ -121,7 +121,7 @@
 // record.
 std::vector<std::string> JobFinalizer::next_implied_cancellations(LedPartition& led) const {
   const ClusterView& view = state_store_.view();
-  const auto max_jobs = static_cast<std::size_t>(std::max(1, settings_.batch() / 2));
+  const auto max_jobs = static_cast<std::size_t>(std::max(1, settings_.max_transaction_writes() / 2));
   std::vector<std::string> jobs;
   for (const auto& job : view.dependencies.all_cancelled()) {
     if (jobs.size() == max_jobs) break;
--- a/src/leadership/leadership_votes.cc
+++ b/src/leadership/leadership_votes.cc
@@ -39,11 +39,11 @@
     return std::nullopt;
   requested_at_ = now;
   peer_rpc::VoteRequest request;
-  request.number = ++last_request_number_;
+  request.request_id = ++last_request_number_;
   request.ttl = k::kVoteTtlMs;
   request.store_revision = state_store_.view().store_revision;
   request.partitions = std::move(partitions);
-  request_sent_at_[request.number] = now;
+  request_sent_at_[request.request_id] = now;
   while (request_sent_at_.size() > k::kMaxPendingVoteRequests)
     request_sent_at_.erase(request_sent_at_.begin());
   return request;
@@ -51,7 +51,7 @@
 
 // The validity of a vote counts from the time at which its request was sent.
 void LeadershipVotes::receive(const std::string& node, const peer_rpc::Vote& vote) {
-  const auto sent_at = request_sent_at_.find(vote.number);
+  const auto sent_at = request_sent_at_.find(vote.request_id);
   if (sent_at == request_sent_at_.end() || !vote.granted) return;
   // The replicated view receives no updates while the controller acts on votes. Finished jobs that
   // the peer may have reported to users must be merged before the vote counts; otherwise the tasks
--- a/src/leadership/partition_activation.cc
+++ b/src/leadership/partition_activation.cc
@@ -35,7 +35,7 @@
 
 void PartitionActivation::load_progress(const LeadershipTerm& term) {
   if (!led_partitions_.find(term)) return;
-  state_store_.list(codec::done_prefix(term.partition), [this, term](const auto& rows) {
+  state_store_.list(codec::progress_prefix(term.partition), [this, term](const auto& rows) {
     LedPartition* led = led_partitions_.find(term);
     if (!led) return;
     if (!rows) {
@@ -51,7 +51,7 @@
   const auto& jobs = state_store_.view().jobs;
   DoneTasks done;
   for (const auto& row : rows) {
-    const std::string job = codec::done_key_job(row.key);
+    const std::string job = codec::progress_key_job(row.key);
     // Progress is written only under a claim, so this row was written under an earlier one for a
     // job accepted before the current claim. If that job is not open, it is final.
     if (!jobs.contains(job)) {
@@ -65,7 +65,7 @@
       continue;
     }
     std::vector<std::uint32_t>& tasks = done[job];
-    tasks.insert(tasks.end(), row.done->tasks.begin(), row.done->tasks.end());
+    tasks.insert(tasks.end(), row.progress->tasks.begin(), row.progress->tasks.end());
   }
   return done;
 }
--- a/src/leadership/partition_leader.cc
+++ b/src/leadership/partition_leader.cc
@@ -175,8 +175,8 @@
   for (const auto& [partition, led] : std::as_const(led_partitions_))
     if (led_partitions_.is_acting_leader(partition))
       status.partition_loads.emplace_back(partition, led.scheduler->load(now));
-  status.use = state_store_.usage();
-  status.hears_workers = workers_.has_worker_contact();
+  status.store_usage = state_store_.usage();
+  status.receives_heartbeats = workers_.has_worker_contact();
   status.features = k::kBuildFeatureBits;
   status.conversion = conversion();
   hooks_.broadcast(status);
--- a/src/state_store/replicated_view.cc
+++ b/src/state_store/replicated_view.cc
@@ -128,7 +128,7 @@
   // which the controller was first seen is kept.
   const auto previous = view_.nodes.find(name);
   const bool same_lease = previous != view_.nodes.end() &&
-                          previous->second.record.boot == row.node->boot &&
+                          previous->second.record.boot_id == row.node->boot_id &&
                           previous->second.record.lease_id == row.node->lease_id;
   const Ms first_seen = same_lease ? previous->second.first_seen : runtime_.now();
   view_.nodes[name] = {.record = *row.node, .revision = row.revision, .first_seen = first_seen};
--- a/src/state_store/store_reader.cc
+++ b/src/state_store/store_reader.cc
@@ -81,7 +81,7 @@
       return;
     }
     query->rows.insert(query->rows.end(), page->rows.begin(), page->rows.end());
-    if (!page->more || page->rows.empty()) {
+    if (!page->has_more || page->rows.empty()) {
       query->done(std::move(query->rows));
       return;
     }
@@ -125,7 +125,7 @@
   const std::set<std::string> requested_ids(query.ids.begin(), query.ids.end());
   for (const auto& row : page.rows)
     if (requested_ids.contains(codec::key_name(row.key))) replica_.apply(row, true);
-  const bool is_last_page = !page.more || page.rows.empty();
+  const bool is_last_page = !page.has_more || page.rows.empty();
   const std::string last_covered_id = is_last_page ? "" : codec::key_name(page.rows.back().key);
   // At least one ID is removed, so that every read makes progress.
   query.ids.pop_back();
@@ -187,7 +187,7 @@
                         return;
                       }
                       Comparison comparison;
-                      if (failed) comparison.failed = codec::parse_failed(reply.body);
+                      if (failed) comparison.failed = codec::parse_failed_keys(reply.body);
                       comparison.store_revision = *revision;
                       done(std::move(comparison));
                     }});
--- a/src/upgrade/coordinator.cc
+++ b/src/upgrade/coordinator.cc
@@ -60,7 +60,7 @@
 // record names this request, and the step is reported as taken.
 bool Coordinator::is_already_taken(const StepOrder& order) const {
   const auto& record = state_store_.view().version_record;
-  return record && record->request == order.request;
+  return record && record->request_id == order.request;
 }
 
 void Coordinator::step(const StepOrder& order, std::function<void(StepAnswer)> done) {
--- a/src/upgrade/step_history.cc
+++ b/src/upgrade/step_history.cc
@@ -62,7 +62,8 @@
     commit.nonce = state_store_.nonce();
     commit.request_priority = RequestPriority::fleet;
     const std::size_t count =
-        std::min(rows->size() - k::kMaxHistoryRecords, static_cast<std::size_t>(settings_.batch()));
+        std::min(rows->size() - k::kMaxHistoryRecords,
+                 static_cast<std::size_t>(settings_.max_transaction_writes()));
     for (std::size_t i = 0; i < count; ++i) {
       const codec::StateRow& row = (*rows)[i];
       commit.preconditions.push_back({row.key, row.revision});
@@ -78,7 +79,8 @@
     if (!rows) return done(std::nullopt);
     std::vector<StepRecord> records;
     for (const auto& row : *rows)
-      if (auto record = codec::parse_step_record(row.text)) records.push_back(std::move(*record));
+      if (auto record = codec::parse_step_record(row.json_value))
+        records.push_back(std::move(*record));
     done(std::move(records));
   });
 }
