--- a/src/cli/serve.cc
+++ b/src/cli/serve.cc
@@ -52,7 +52,7 @@
   spdlog::info("start node={} api={} peer={} boot={}", settings->node, settings->api_addr,
                settings->peer_addr, loop.boot_id());
   controller.start();
-  loop.every(constants::kTickMs, [&] { controller.tick(); });
+  loop.call_every(constants::kTickMs, [&] { controller.tick(); });
   loop.run();
   return exit_code::kSuccess;
 }
--- a/src/net/address.cc
+++ b/src/net/address.cc
@@ -1,4 +1,4 @@
-// Socket addresses out of their text form IP:PORT.
+// Parsing of IPv4 socket addresses from the text form IP:PORT.
 #include "net/address.h"
 
 #include <arpa/inet.h>
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,4 @@
-// Socket addresses out of their text form IP:PORT.
+// Parsing of IPv4 socket addresses from the text form IP:PORT.
 #pragma once
 #include <netinet/in.h>
 
@@ -9,13 +9,15 @@
 
 namespace eiderreel::net {
 
-/// An address whose host is an IPv4 address.
+/// A host and port whose host is an IPv4 address.
 using Address = HostPort;
 
-/// Parses "10.0.0.1:8080". Nothing if it is not an IPv4 address with a port from 1 to 65535.
+/// Parses text such as "10.0.0.1:8080". Returns nullopt unless the text is an IPv4 address with a
+/// port from 1 to 65535.
 std::optional<Address> parse_address(const std::string& text);
 
-/// The socket address of "10.0.0.1:8080". A host that is not an IPv4 address becomes 0.0.0.0.
+/// Converts text such as "10.0.0.1:8080" to a socket address. A host that is not an IPv4 address
+/// becomes 0.0.0.0.
 sockaddr_in to_sockaddr(const std::string& text);
 
 }  // namespace eiderreel::net
--- a/src/net/event_loop.cc
+++ b/src/net/event_loop.cc
@@ -1,4 +1,4 @@
-// The event loop under all actors, over libevent.
+// Implementation of Runtime over libevent.
 #include "net/event_loop.h"
 
 #include <fmt/format.h>
@@ -9,7 +9,7 @@
 namespace eiderreel::net {
 namespace {
 
-// Only one thread uses the base, so that libevent needs no locks.
+// Disables libevent's locks: only one thread uses the base.
 EventBasePtr make_event_base() {
   const EventConfigPtr config(event_config_new());
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_NOLOCK);
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-// A timer that fires once. It lives in `one_shot_timers_` until then.
+// A timer that fires once; stays in `one_shot_timers_` until it fires.
 struct EventLoop::OneShotTimer {
   EventLoop* loop;
   std::function<void()> callback;
@@ -61,7 +61,7 @@
   static_cast<PeriodicTimer*>(timer)->callback();
 }
 
-void EventLoop::every(Ms period, std::function<void()> callback) {
+void EventLoop::call_every(Ms period, std::function<void()> callback) {
   PeriodicTimer& timer = periodic_timers_.emplace_back(PeriodicTimer{std::move(callback), nullptr});
   timer.event.reset(event_new(base_.get(), -1, EV_PERSIST, &EventLoop::on_periodic, &timer));
   const timeval interval = to_timeval(period);
@@ -79,7 +79,7 @@
 void EventLoop::on_one_shot(evutil_socket_t /*socket*/, short /*events*/, void* timer) {
   const auto self = static_cast<OneShotTimer*>(timer)->self;
   EventLoop& loop = *self->loop;
-  // The callback may start further timers, so this one is removed first.
+  // The callback may add timers to the list, so this timer is removed before it is called.
   const std::function<void()> callback = std::move(self->callback);
   loop.one_shot_timers_.erase(self);
   callback();
@@ -95,7 +95,7 @@
 
 void EventLoop::http(HttpRequest request, std::function<void(HttpReply)> done) {
   HttpClient* client = clients_.client_of(request.addr);
-  if (!client) {  // an address that cannot be called counts as one that does not answer
+  if (!client) {  // a malformed address is reported like a missing answer: status 0
     after(0, [done = std::move(done)] { done({}); });
     return;
   }
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,4 +1,4 @@
-// The event loop under all actors, over libevent.
+// Implementation of Runtime over libevent.
 #pragma once
 #include <functional>
 #include <list>
@@ -17,7 +17,8 @@
 
 namespace eiderreel::net {
 
-/// The Runtime of a real process: clocks, timers, and the network. Runs everything in one thread.
+/// The Runtime of a controller process: system clocks, timers and the network. All callbacks run in
+/// the thread that calls run().
 class EventLoop : public Runtime {
  public:
   /// `settings` must outlive the loop.
@@ -28,12 +29,13 @@
   EventLoop(EventLoop&&) = delete;
   EventLoop& operator=(EventLoop&&) = delete;
 
-  /// Starts to serve HTTP on api_addr and peers on mesh_addr, and to connect to the peers.
+  /// Listens for HTTP requests on api_addr and for peers on mesh_addr, and starts connecting to the
+  /// peers.
   tl::expected<void, ListenError> listen(HttpServer::OnRequest on_request,
                                          PeerLinks::OnFrame on_frame);
-  /// Calls back periodically, for as long as the loop lives.
-  void every(Ms period, std::function<void()> callback);
-  /// Handles events until the process ends.
+  /// Calls `callback` every `period` until the loop is destroyed.
+  void call_every(Ms period, std::function<void()> callback);
+  /// Dispatches events until the process ends.
   void run();
 
   Ms now() const override;
@@ -57,7 +59,7 @@
   const Settings& settings_;
   std::string boot_id_;
   std::mt19937_64 random_engine_;
-  // All members below hold events of this base, so that it must be freed last.
+  // The members below hold events of this base, so it is declared first and destroyed last.
   EventBasePtr base_;
   HttpClientPool clients_;
   std::unique_ptr<PeerLinks> peer_links_;
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -1,4 +1,4 @@
-// HTTP requests to one address over libevent.
+// HTTP client for one address, over libevent.
 #include "net/http_client.h"
 
 #include <utility>
@@ -26,10 +26,11 @@
 
 }  // namespace
 
-// A request on its way. It lives in `open_` until libevent calls on_done with it.
+// A request without a reply yet; stays in `open_calls_` until libevent passes it to
+// on_request_done.
 struct HttpClient::Call {
   HttpClient* client;
-  bool once;
+  bool close_after_reply;
   OnReply on_reply;
   EvhttpConnectionPtr connection;
   std::list<Call>::iterator self;
@@ -38,61 +39,62 @@
 HttpClient::HttpClient(event_base* base, Address address)
     : base_(base),
       address_(std::move(address)),
-      free_failed_(event_new(base, -1, EV_TIMEOUT, &HttpClient::on_free_failed, this)) {}
+      free_failed_event_(event_new(base, -1, EV_TIMEOUT, &HttpClient::on_free_failed, this)) {}
 
 HttpClient::~HttpClient() = default;
 
 EvhttpConnectionPtr HttpClient::take_connection() {
-  if (idle_.empty())
+  if (idle_connections_.empty())
     return EvhttpConnectionPtr(
         evhttp_connection_base_new(base_, nullptr, address_.host.c_str(), address_.port));
-  EvhttpConnectionPtr connection = std::move(idle_.back());
-  idle_.pop_back();
+  EvhttpConnectionPtr connection = std::move(idle_connections_.back());
+  idle_connections_.pop_back();
   return connection;
 }
 
-// Where it could not connect or timed out, libevent does not free a connection "on completion", and
-// within its callback it still uses it.
-void HttpClient::free_soon(EvhttpConnectionPtr connection) {
-  failed_.push_back(std::move(connection));
-  event_active(free_failed_.get(), EV_TIMEOUT, 1);
+// Frees the connection from the event loop rather than from on_request_done: libevent still uses
+// the connection during that callback, and evhttp_connection_free_on_completion has no effect on a
+// connection that failed to connect or timed out.
+void HttpClient::free_after_callback(EvhttpConnectionPtr connection) {
+  failed_connections_.push_back(std::move(connection));
+  event_active(free_failed_event_.get(), EV_TIMEOUT, 1);
 }
 
 void HttpClient::on_free_failed(evutil_socket_t /*socket*/, short /*events*/, void* client) {
-  static_cast<HttpClient*>(client)->failed_.clear();
+  static_cast<HttpClient*>(client)->failed_connections_.clear();
 }
 
-void HttpClient::on_done(evhttp_request* request, void* call) {
+void HttpClient::on_request_done(evhttp_request* request, void* call) {
   const auto self = static_cast<Call*>(call)->self;
   Call done = std::move(*self);
   HttpClient& client = *done.client;
-  client.open_.erase(self);
+  client.open_calls_.erase(self);
   HttpReply reply;
-  // Null, or without a status, where the connection failed or timed out.
+  // If the connection failed or timed out, the request is null or its status is 0.
   if (request && evhttp_request_get_response_code(request) != http_status::kNoAnswer) {
     reply.status = evhttp_request_get_response_code(request);
     reply.body = take_body(request);
-    if (done.once)
+    if (done.close_after_reply)
       evhttp_connection_free_on_completion(done.connection.release());
     else
-      client.idle_.push_back(std::move(done.connection));
+      client.idle_connections_.push_back(std::move(done.connection));
   } else {
-    client.free_soon(std::move(done.connection));
+    client.free_after_callback(std::move(done.connection));
   }
   done.on_reply(std::move(reply));
 }
 
 void HttpClient::send(const HttpRequest& request, OnReply on_reply) {
-  Call& call = open_.emplace_back(
-      Call{this, request.once, std::move(on_reply), take_connection(), open_.end()});
-  call.self = std::prev(open_.end());
+  Call& call = open_calls_.emplace_back(
+      Call{this, request.once, std::move(on_reply), take_connection(), open_calls_.end()});
+  call.self = std::prev(open_calls_.end());
   evhttp_connection* connection = call.connection.get();
   const timeval timeout = to_timeval(request.timeout);
   evhttp_connection_set_timeout_tv(connection, &timeout);
-  evhttp_request* target = evhttp_request_new(&HttpClient::on_done, &call);
+  evhttp_request* target = evhttp_request_new(&HttpClient::on_request_done, &call);
   write_request(target, address_, request);
-  // The connection owns the request from here on. On failure libevent has called on_done or freed
-  // the request, and nothing is left to do.
+  // evhttp_make_request takes ownership of `target`. Its result needs no check: on failure libevent
+  // has called on_request_done or freed the request.
   evhttp_make_request(connection, target, command_of(request.method), request.path.c_str());
 }
 
--- a/src/net/http_client_pool.cc
+++ b/src/net/http_client_pool.cc
@@ -1,4 +1,4 @@
-// The HTTP clients of all addresses that a controller calls.
+// Pool of HTTP clients, one for each address that a controller sends requests to.
 #include "net/http_client_pool.h"
 
 namespace eiderreel::net {
--- a/src/net/http_client_pool.h
+++ b/src/net/http_client_pool.h
@@ -1,4 +1,4 @@
-// The HTTP clients of all addresses that a controller calls.
+// Pool of HTTP clients, one for each address that a controller sends requests to.
 #pragma once
 #include <map>
 #include <memory>
@@ -8,18 +8,18 @@
 
 namespace eiderreel::net {
 
-/// One HttpClient for each address, made when the address is first called.
+/// One HttpClient for each address, created on the first request to that address.
 class HttpClientPool {
  public:
   /// `base` must outlive the pool.
   explicit HttpClientPool(event_base* base) : base_(base) {}
 
-  /// The client of an address of the form IP:PORT; null if it does not have that form.
+  /// Returns the client for `address`; null if `address` does not have the form IP:PORT.
   HttpClient* client_of(const std::string& address);
 
  private:
   event_base* base_;
-  std::map<std::string, std::unique_ptr<HttpClient>> clients_;  // by address
+  std::map<std::string, std::unique_ptr<HttpClient>> clients_;  // keyed by address
 };
 
 }  // namespace eiderreel::net
--- a/src/net/http_reply.cc
+++ b/src/net/http_reply.cc
@@ -1,4 +1,4 @@
-// The answer to a request that an HTTP server of ours received.
+// Deferred replies to requests that an HTTP server has received.
 #include "net/http_reply.h"
 
 #include <event2/http_struct.h>
@@ -38,7 +38,7 @@
   }
 }
 
-// Everything is JSON except /metrics, which is in Prometheus' text format.
+// Every body is a JSON object except that of /metrics, which has the Prometheus text format.
 const char* content_type(const std::string& body) {
   const bool is_json = body.empty() || body.front() == '{';
   return is_json ? "application/json" : "text/plain; version=0.0.4";
@@ -66,7 +66,8 @@
   if (status == http_status::kServiceUnavailable || status == http_status::kTooManyRequests)
     evhttp_add_header(headers, "Retry-After", std::to_string(k::kRetryAfterS).c_str());
   evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
-  // From here on libevent frees the request, also if the connection fails.
+  // evhttp_send_reply passes ownership back to libevent, which also frees the request if the
+  // connection fails.
   static_cast<void>(request_.release());
   request->flags &= ~EVHTTP_USER_OWNED;
   evhttp_send_reply(request, status, reason_phrase(status), nullptr);
--- a/src/net/http_reply.h
+++ b/src/net/http_reply.h
@@ -1,4 +1,4 @@
-// The answer to a request that an HTTP server of ours received.
+// Deferred replies to requests that an HTTP server has received.
 #pragma once
 #include <string>
 
@@ -6,12 +6,12 @@
 
 namespace eiderreel::net {
 
-/// A received request that waits for its answer. The answer may be sent after the request's handler
-/// has returned. If the user's connection closes first, the answer is dropped. A request that is
-/// destroyed without an answer is answered with 503.
+/// A received request that has no reply yet. The reply may be sent after the request handler has
+/// returned; it is dropped if the client has closed the connection. If no reply was sent, the
+/// destructor replies with 503.
 class PendingReply {
  public:
-  /// Takes the request over from libevent.
+  /// Takes ownership of the request from libevent.
   explicit PendingReply(evhttp_request* request);
   ~PendingReply();
   PendingReply(const PendingReply&) = delete;
@@ -19,14 +19,14 @@
   PendingReply(PendingReply&&) = delete;
   PendingReply& operator=(PendingReply&&) = delete;
 
-  /// Sends the answer. Only the first call has an effect.
+  /// Sends the reply. Only the first call has an effect.
   void send(int status, const std::string& body);
 
  private:
   static void on_close(evhttp_connection* connection, void* reply);
 
-  EvhttpRequestPtr request_;        // null once it is answered
-  bool connection_closed_ = false;  // nobody waits for the answer any more
+  EvhttpRequestPtr request_;        // null once the reply has been sent
+  bool connection_closed_ = false;  // by the client; the reply is dropped
 };
 
 }  // namespace eiderreel::net
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -1,4 +1,4 @@
-// The HTTP server that users, workers and operators call.
+// HTTP server for requests of users, workers and operators.
 #include "net/http_server.h"
 
 #include <memory>
@@ -13,7 +13,8 @@
 
 namespace k = constants;
 
-// Methods that nothing serves are let through too, so that they are answered with 405 here.
+// Includes methods without a handler, so that the router answers them with 405 instead of libevent
+// rejecting them.
 constexpr ev_uint16_t kAllowedMethods = EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_PUT |
                                         EVHTTP_REQ_DELETE | EVHTTP_REQ_HEAD | EVHTTP_REQ_PATCH |
                                         EVHTTP_REQ_OPTIONS;
@@ -43,12 +44,13 @@
   evhttp_set_max_headers_size(server_.get(), k::kHeadersMax);
   evhttp_set_timeout(server_.get(), k::kIdleConnectionS);
   evhttp_set_allowed_methods(server_.get(), kAllowedMethods);
-  evhttp_set_gencb(server_.get(), &HttpServer::on_http, this);
+  evhttp_set_gencb(server_.get(), &HttpServer::on_evhttp_request, this);
 }
 
 tl::expected<void, ListenError> HttpServer::listen(const Settings& settings) {
-  // When all controllers were down, every worker and user connects to the first one that is back.
-  // The backlog therefore holds as many connections as may be open, not libevent's usual 128.
+  // After an outage of all controllers, every worker and user connects to the first controller that
+  // restarts. The backlog therefore holds max_sockets connections instead of libevent's default of
+  // 128.
   const int backlog = settings.max_sockets;
   sockaddr_in address = to_sockaddr(settings.api_addr);
   ListenerPtr listener(
@@ -56,11 +58,11 @@
                               backlog, reinterpret_cast<sockaddr*>(&address), sizeof address));
   if (!listener || !evhttp_bind_listener(server_.get(), listener.get()))
     return tl::make_unexpected(ListenError{"api_addr", settings.api_addr});
-  static_cast<void>(listener.release());  // the server owns it now
+  static_cast<void>(listener.release());  // owned by the server once bound
   return {};
 }
 
-void HttpServer::on_http(evhttp_request* request, void* server) {
+void HttpServer::on_evhttp_request(evhttp_request* request, void* server) {
   const std::string method = method_of(request);
   const std::string path = path_of(request);
   const std::string body = take_body(request);
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,4 +1,4 @@
-// The HTTP server that users, workers and operators call.
+// HTTP server for requests of users, workers and operators.
 #pragma once
 #include <functional>
 #include <string>
@@ -14,19 +14,19 @@
 /// Serves HTTP on the controller's api_addr.
 class HttpServer {
  public:
-  /// Called with each request; `method` is GET, POST or OTHER, and `path` has no query part. The
-  /// reply may be called later.
+  /// Handles one request. `method` is GET, POST or OTHER, and `path` has no query part. `reply` may
+  /// be called after the handler has returned.
   using OnRequest = std::function<void(const std::string& method, const std::string& path,
                                        const std::string& body, Reply reply)>;
 
   /// `base` must outlive the server.
   HttpServer(event_base* base, OnRequest on_request);
 
-  /// Starts to accept connections on `settings.api_addr`.
+  /// Starts accepting connections on `settings.api_addr`.
   tl::expected<void, ListenError> listen(const Settings& settings);
 
  private:
-  static void on_http(evhttp_request* request, void* server);
+  static void on_evhttp_request(evhttp_request* request, void* server);
 
   event_base* base_;
   OnRequest on_request_;
--- a/src/net/libevent_handles.cc
+++ b/src/net/libevent_handles.cc
@@ -1,4 +1,4 @@
-// Conversions between libevent's types and ours.
+// Conversions between types of libevent and of this program.
 #include "net/libevent_handles.h"
 
 namespace eiderreel::net {
--- a/src/net/libevent_handles.h
+++ b/src/net/libevent_handles.h
@@ -1,4 +1,5 @@
-// Owners of libevent's objects, and the conversions between its types and ours.
+// Owning pointers to libevent objects, and conversions between types of libevent and of this
+// program.
 #pragma once
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -13,7 +14,7 @@
 
 namespace eiderreel::net {
 
-/// Deleter that calls one of libevent's free functions.
+/// Deleter for std::unique_ptr that calls one of libevent's free functions.
 template <auto FreeFunction>
 struct FreeWith {
   template <typename Object>
@@ -31,10 +32,11 @@
 using EvhttpConnectionPtr = std::unique_ptr<evhttp_connection, FreeWith<evhttp_connection_free>>;
 using EvhttpRequestPtr = std::unique_ptr<evhttp_request, FreeWith<evhttp_request_free>>;
 
-/// A duration, in milliseconds, as libevent takes it.
+/// Converts a duration from milliseconds.
 timeval to_timeval(Ms duration);
 
-/// Takes the body out of a request, or out of the answer to one.
+/// Removes the body from the input buffer of `request` and returns it: the request body on a
+/// server, the response body on a client.
 std::string take_body(evhttp_request* request);
 
 }  // namespace eiderreel::net
--- a/src/net/listen_error.cc
+++ b/src/net/listen_error.cc
@@ -1,4 +1,4 @@
-// The text form of listen errors.
+// Formatting of ListenError.
 #include "net/listen_error.h"
 
 namespace eiderreel::net {
--- a/src/net/listen_error.h
+++ b/src/net/listen_error.h
@@ -1,4 +1,4 @@
-// Why a controller could not start to listen.
+// Error of a controller that cannot listen on one of its addresses.
 #pragma once
 #include <string>
 
@@ -6,11 +6,11 @@
 
 /// An address that could not be bound.
 struct ListenError {
-  std::string field;    ///< Field of the settings file that gives the address.
+  std::string field;    ///< Name of the settings file's field with the address.
   std::string address;  ///< IP:PORT.
 };
 
-/// One line for the log.
+/// Formats the error as a single line for the log.
 std::string to_string(const ListenError& error);
 
 }  // namespace eiderreel::net
--- a/src/net/peer_links.cc
+++ b/src/net/peer_links.cc
@@ -1,4 +1,4 @@
-// Connections between controllers.
+// TCP connections between controllers.
 #include "net/peer_links.h"
 
 #include <array>
@@ -45,7 +45,7 @@
     OutboundLink& link = outbound_[peer.name];
     link.owner = this;
     link.address = peer.peer_addr;
-    link.redial.reset(evtimer_new(base_, &PeerLinks::on_redial, &link));
+    link.redial_timer.reset(evtimer_new(base_, &PeerLinks::on_redial, &link));
     dial(link);
   }
   return {};
@@ -61,21 +61,21 @@
   link.connected = false;
   bufferevent* connection = link.connection.get();
   bufferevent_setcb(connection, nullptr, nullptr, &PeerLinks::on_outbound_event, &link);
-  // Gives up a link that cannot be opened as well as one whose bytes are not taken.
+  // Covers both a connection attempt and a write that the peer does not accept.
   const timeval timeout = to_timeval(k::kPeerStuckMs);
   bufferevent_set_timeouts(connection, nullptr, &timeout);
   bufferevent_enable(connection, EV_WRITE | EV_READ);
   sockaddr_in address = to_sockaddr(link.address);
-  const int failed =
+  const int connect_result =
       bufferevent_socket_connect(connection, reinterpret_cast<sockaddr*>(&address), sizeof address);
-  if (failed != 0) drop_and_redial(link);
+  if (connect_result != 0) close_and_schedule_redial(link);
 }
 
-void PeerLinks::drop_and_redial(OutboundLink& link) {
+void PeerLinks::close_and_schedule_redial(OutboundLink& link) {
   link.connection.reset();
   link.connected = false;
   const timeval delay = to_timeval(k::kPeerRedialMs);
-  event_add(link.redial.get(), &delay);
+  event_add(link.redial_timer.get(), &delay);
 }
 
 void PeerLinks::on_outbound_event(bufferevent* /*connection*/, short events, void* link) {
@@ -83,7 +83,7 @@
   if ((events & BEV_EVENT_CONNECTED) != 0)
     outbound.connected = true;
   else
-    drop_and_redial(outbound);
+    close_and_schedule_redial(outbound);
 }
 
 void PeerLinks::send(const std::string& node, const std::string& bytes) {
@@ -93,7 +93,7 @@
   if (!link.connection || !link.connected) return;
   bufferevent* connection = link.connection.get();
   if (evbuffer_get_length(bufferevent_get_output(connection)) > k::kPeerBacklogMaxBytes) {
-    drop_and_redial(link);
+    close_and_schedule_redial(link);
     return;
   }
   const FrameHeader header = encode_length(static_cast<std::uint32_t>(bytes.size()));
@@ -114,7 +114,8 @@
   bufferevent_enable(connection, EV_READ);
 }
 
-// The end of the link, an error, or silence for too long: in each case the peer dials again.
+// Called when the peer closes the link, on an error and after the idle timeout. The link is closed
+// without a retry, because the peer reconnects its outbound link.
 void PeerLinks::on_inbound_event(bufferevent* connection, short /*events*/, void* links) {
   static_cast<PeerLinks*>(links)->inbound_.erase(connection);
 }
@@ -126,7 +127,7 @@
   while (evbuffer_copyout(input, header.data(), header.size()) ==
          static_cast<ev_ssize_t>(header.size())) {
     const std::uint32_t length = decode_length(header);
-    if (length > k::kPeerFrameMaxBytes) {  // whoever sends this is no controller
+    if (length > k::kPeerFrameMaxBytes) {  // the sender is not a controller
       self->inbound_.erase(connection);
       return;
     }
--- a/src/net/peer_links.h
+++ b/src/net/peer_links.h
@@ -1,4 +1,4 @@
-// Connections between controllers.
+// TCP connections between controllers.
 #pragma once
 #include <functional>
 #include <map>
@@ -11,22 +11,24 @@
 
 namespace eiderreel::net {
 
-/// Sends frames of bytes between controllers over TCP. Each controller connects to every peer and
-/// sends over that outbound link only; it receives over the inbound links that its peers opened.
-/// On the wire a frame is its length, four bytes with the lowest first, followed by its bytes.
+/// Exchanges frames between controllers over TCP. Each controller connects to every peer and sends
+/// only over that outbound link; it receives over the inbound links that its peers opened. On the
+/// wire a frame is its length, as four bytes in little-endian order, followed by its payload.
 ///
-/// Delivery is best effort and in order while a link lasts; a lost frame is not reported.
+/// Delivery is best effort, and in order on one connection; a lost frame is not reported.
 class PeerLinks {
  public:
-  /// Called with each frame that arrives.
+  /// Called with the payload of each frame received.
   using OnFrame = std::function<void(const std::string& bytes)>;
 
   /// `base` and `settings` must outlive the links.
   PeerLinks(event_base* base, const Settings& settings, OnFrame on_frame);
 
-  /// Starts to accept inbound links on `settings.peer_addr` and to connect to all peers.
+  /// Starts accepting inbound links on `settings.peer_addr` and connecting to all peers.
   tl::expected<void, ListenError> listen();
-  /// Sends a frame to a peer. It is dropped while there is no link to the peer.
+  /// Sends a frame to the peer `node`. The frame is dropped if the link to that peer is not
+  /// connected. If the link's backlog of unsent bytes is too long, the link is closed as well and
+  /// reopened later.
   void send(const std::string& node, const std::string& bytes);
 
  private:
@@ -35,11 +37,11 @@
     std::string address;  // IP:PORT
     BuffereventPtr connection;
     bool connected = false;
-    EventPtr redial;
+    EventPtr redial_timer;
   };
 
   void dial(OutboundLink& link);
-  static void drop_and_redial(OutboundLink& link);
+  static void close_and_schedule_redial(OutboundLink& link);
   static void on_redial(evutil_socket_t socket, short events, void* link);
   static void on_outbound_event(bufferevent* connection, short events, void* link);
   static void on_accept(evconnlistener* listener, evutil_socket_t socket, sockaddr* peer,
@@ -50,7 +52,7 @@
   event_base* base_;
   const Settings& settings_;
   OnFrame on_frame_;
-  std::map<std::string, OutboundLink> outbound_;  // by name of the peer
+  std::map<std::string, OutboundLink> outbound_;  // keyed by name of the peer
   std::map<bufferevent*, BuffereventPtr> inbound_;
   ListenerPtr listener_;
 };
