--- a/src/cli/serve.cc
+++ b/src/cli/serve.cc
@@ -41,9 +41,9 @@
   Controller controller(loop, *settings);
   const auto on_request = [&](const std::string& method, const std::string& path,
                               const std::string& body, const Reply& reply) {
-    controller.request(method, path, body, reply);
+    controller.serve_request(method, path, body, reply);
   };
-  const auto on_frame = [&](const std::string& bytes) { controller.frame(bytes); };
+  const auto on_frame = [&](const std::string& bytes) { controller.receive_peer_message(bytes); };
   if (const auto listening = loop.listen(on_request, on_frame); !listening) {
     spdlog::error("start failed node={} reason=\"{}\"", settings->node,
                   net::to_string(listening.error()));
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -1,4 +1,4 @@
-// One node of the service: which part hears of what.
+// Construction of a controller's components and the callbacks that connect them.
 #include "controller/controller.h"
 
 #include <utility>
@@ -12,24 +12,25 @@
       job_api_(runtime, settings, state_store_, partition_leader_),
       fleet_(runtime, settings, state_store_, partition_leader_),
       upgrades_(runtime, settings, state_store_, partition_leader_),
-      peers_(runtime, settings, partition_leader_, job_api_),
+      peer_dispatcher_(runtime, settings, partition_leader_, job_api_),
       http_router_(*this, partition_leader_, job_api_, upgrades_) {}
 
-// The state store starts last: its events are for all others.
+// The state store client starts last because its events go to all other components.
 void Controller::start() {
   start_leadership();
   job_api_.start({[this](const std::string& node, const peer_rpc::JobQuery& query) {
-    peers_.send(node, query);
+    peer_dispatcher_.send(node, query);
   }});
   start_fleet();
   start_state_store();
 }
 
 void Controller::start_leadership() {
-  partition_leader_.start({[this](const Heartbeat& heartbeat, Reply reply) {
-                             fleet_.assign(heartbeat, std::move(reply));
-                           },
-                           [this](const peer_rpc::Body& body) { peers_.broadcast(body); }});
+  partition_leader_.start(
+      {[this](const Heartbeat& heartbeat, Reply reply) {
+         fleet_.assign(heartbeat, std::move(reply));
+       },
+       [this](const peer_rpc::Body& body) { peer_dispatcher_.broadcast(body); }});
 }
 
 void Controller::start_fleet() {
@@ -39,11 +40,11 @@
     job_api_.types_known(types);
   };
   hooks.send = [this](const std::string& node, const peer_rpc::Body& body) {
-    peers_.send(node, body);
+    peer_dispatcher_.send(node, body);
   };
   hooks.machines_terminated = [this](const std::vector<std::string>& machines) {
     partition_leader_.machines_terminated(machines);
-    peers_.broadcast(peer_rpc::MachinesTerminated{machines});
+    peer_dispatcher_.broadcast(peer_rpc::MachinesTerminated{machines});
   };
   fleet_.start(std::move(hooks));
 }
@@ -68,10 +69,10 @@
   upgrades_.tick();
 }
 
-void Controller::frame(const std::string& bytes) { peers_.receive(bytes); }
+void Controller::receive_peer_message(const std::string& bytes) { peer_dispatcher_.receive(bytes); }
 
-void Controller::request(const std::string& method, const std::string& path,
-                         const std::string& body, const Reply& reply) {
+void Controller::serve_request(const std::string& method, const std::string& path,
+                               const std::string& body, const Reply& reply) {
   http_router_.serve(method, path, body, reply);
 }
 
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,4 +1,4 @@
-// One node of the service: its parts, wired to each other.
+// One controller process: its components and the connections between them.
 #pragma once
 #include <string>
 
@@ -12,23 +12,24 @@
 
 namespace eiderreel {
 
-/// A controller. It runs on one thread: its functions are called by the event loop alone.
+/// A controller. Not thread-safe: all functions are called from the event loop's thread.
 class Controller {
  public:
-  /// Both must outlive the controller.
+  /// `runtime` and `settings` must outlive the controller.
   Controller(Runtime& runtime, const Settings& settings);
-  /// To be called once, before anything else.
+  /// Starts all components. Must be called once, before any other function.
   void start();
-  /// All periodic work; every constants::kTickMs.
+  /// Does the periodic work of all components; must be called every constants::kTickMs.
   void tick();
 
-  /// A request to `api_addr`. `reply` is called once, at once or later.
-  void request(const std::string& method, const std::string& path, const std::string& body,
-               const Reply& reply);
-  /// A message from a peer, without the length of its frame.
-  void frame(const std::string& bytes);
+  /// Serves an HTTP request to `api_addr`. `reply` is called exactly once, during this call or
+  /// later.
+  void serve_request(const std::string& method, const std::string& path, const std::string& body,
+                     const Reply& reply);
+  /// Handles a message from a peer. `bytes` is the frame's payload, without its length prefix.
+  void receive_peer_message(const std::string& bytes);
 
-  /// What /metrics and /status tell of: the settings and the parts of the controller.
+  /// Settings and components, which /metrics and /status report on.
   const Settings& settings() const { return settings_; }
   const StateStoreClient& state_store() const { return state_store_; }
   const PartitionLeader& partition_leader() const { return partition_leader_; }
@@ -46,7 +47,7 @@
   JobApi job_api_;
   FleetManager fleet_;
   upgrade::Coordinator upgrades_;
-  PeerDispatcher peers_;
+  PeerDispatcher peer_dispatcher_;
   HttpRouter http_router_;
 };
 
--- a/src/controller/http_router.cc
+++ b/src/controller/http_router.cc
@@ -1,4 +1,4 @@
-// The HTTP router: routes by path, then by method.
+// Routes HTTP requests by path, then checks the method.
 #include "controller/http_router.h"
 
 #include <string_view>
@@ -46,10 +46,11 @@
     return reply(http_status::kContentTooLarge, codec::error_body("the body is over 64 KiB"));
   if (upgrade::is_upgrade_path(path)) return upgrade::serve(upgrades_, method, path, body, reply);
   const auto found = routes_.find(path);
-  const bool is_job = path.starts_with(kJobsPrefix);
-  if (found == routes_.end() && !is_job)
+  const bool is_job_path = path.starts_with(kJobsPrefix);
+  if (found == routes_.end() && !is_job_path)
     return reply(http_status::kNotFound, codec::error_body("no such path"));
-  if (is_job) return serve_route(job_route(path.substr(kJobsPrefix.size())), method, body, reply);
+  if (is_job_path)
+    return serve_route(job_route(path.substr(kJobsPrefix.size())), method, body, reply);
   serve_route(found->second, method, body, reply);
 }
 
--- a/src/controller/http_router.h
+++ b/src/controller/http_router.h
@@ -1,5 +1,5 @@
-// The HTTP router: the paths and methods of a controller's HTTP interface, for users, workers,
-// monitoring and operators.
+// The paths and methods of a controller's HTTP interface for users, workers, monitoring and
+// operators.
 #pragma once
 #include <functional>
 #include <map>
@@ -14,21 +14,22 @@
 
 class Controller;
 
-/// Hands each request to the part that answers it.
+/// Dispatches each HTTP request to the component that handles it.
 class HttpRouter {
  public:
-  /// `controller` is what /metrics and /status tell of.
+  /// `controller` is the source of /metrics and /status. All arguments must outlive the router.
   HttpRouter(const Controller& controller, PartitionLeader& partition_leader, JobApi& job_api,
              upgrade::Coordinator& upgrades);
 
-  /// Answers a request, at once or later; `reply` is called once. Here it is answered with 404 for
-  /// an unknown path, 405 for a wrong method and 413 for a body over constants::kBodyMax.
+  /// Handles a request; `reply` is called exactly once, during this call or later. The router
+  /// itself replies with 404 to an unknown path, 405 to a wrong method and 413 to a body that is
+  /// larger than constants::kBodyMax.
   void serve(const std::string& method, const std::string& path, const std::string& body,
              const Reply& reply);
 
  private:
   struct Route {
-    std::string method;  // the only one that is allowed
+    std::string method;  // the only allowed method
     std::function<void(const std::string& body, Reply reply)> serve;
   };
 
@@ -36,13 +37,13 @@
                           const Reply& reply);
   void serve_heartbeat(const std::string& body, Reply reply);
   void serve_ready(const Reply& reply) const;
-  // `path` is what follows /v1/jobs/.
+  // `path` is the part of the request's path after /v1/jobs/.
   Route job_route(const std::string& path);
 
   PartitionLeader& partition_leader_;
   JobApi& job_api_;
   upgrade::Coordinator& upgrades_;
-  std::map<std::string, Route> routes_;  // by path
+  std::map<std::string, Route> routes_;  // keyed by path
 };
 
 }  // namespace eiderreel
--- a/src/controller/metrics.h
+++ b/src/controller/metrics.h
@@ -1,4 +1,4 @@
-// What a controller tells of itself under /metrics.
+// The metrics that a controller serves under /metrics.
 #pragma once
 #include <string>
 
@@ -6,7 +6,7 @@
 
 class Controller;
 
-/// The metrics of a controller in the text format of Prometheus.
+/// Returns the metrics of a controller in the Prometheus text format.
 std::string metrics_text(const Controller& controller);
 
 }  // namespace eiderreel
--- a/src/controller/peer_dispatcher.cc
+++ b/src/controller/peer_dispatcher.cc
@@ -1,4 +1,4 @@
-// The peer dispatcher: which part each kind of message is for.
+// Sending and dispatching of peer messages.
 #include "controller/peer_dispatcher.h"
 
 #include <spdlog/spdlog.h>
@@ -12,7 +12,7 @@
 namespace eiderreel {
 namespace {
 
-// The message between peers does not tell why there is no answer.
+// The peer message has no field for the reason of a failed query: status kNoAnswer stands for all.
 peer_rpc::JobQueryReply job_query_reply(std::uint64_t number, const JobQueryResult& result) {
   if (!result) return {number, http_status::kNoAnswer, ""};
   return {number, result->status, result->body};
@@ -35,9 +35,9 @@
   const std::string& from;
 
   void operator()(const peer_rpc::JobQuery& query) const {
-    partition_leader.query_job(query, [node = &dispatcher, from = from,
+    partition_leader.query_job(query, [peer_dispatcher = &dispatcher, from = from,
                                        number = query.number](const JobQueryResult& result) {
-      node->send(from, job_query_reply(number, result));
+      peer_dispatcher->send(from, job_query_reply(number, result));
     });
   }
   void operator()(const peer_rpc::JobQueryReply& reply) const {
--- a/src/controller/peer_dispatcher.h
+++ b/src/controller/peer_dispatcher.h
@@ -1,5 +1,4 @@
-// The peer dispatcher: sends messages to the other controllers, and hands theirs to the part that
-// they are for.
+// Sending of messages to the other controllers, and dispatching of received messages.
 #pragma once
 #include <string>
 
@@ -10,7 +9,7 @@
 
 namespace eiderreel {
 
-/// The messages between controllers.
+/// Sends peer messages, and passes each received message to the component that handles its type.
 class PeerDispatcher {
  public:
   PeerDispatcher(Runtime& runtime, const Settings& settings, PartitionLeader& partition_leader,
@@ -24,7 +23,7 @@
   void send(const std::string& node, const peer_rpc::Body& body);
   /// Sends a message to all peers, best effort.
   void broadcast(const peer_rpc::Body& body);
-  /// Hands on a peer's message; one that cannot be read is dropped.
+  /// Dispatches a message received from a peer. A malformed message is logged and dropped.
   void receive(const std::string& bytes);
 
  private:
--- a/src/controller/status_report.h
+++ b/src/controller/status_report.h
@@ -1,4 +1,4 @@
-// What a controller tells of itself under /status.
+// The status report that a controller serves under /status.
 #pragma once
 #include <string>
 
@@ -6,7 +6,7 @@
 
 class Controller;
 
-/// The status of a controller in JSON, for `eiderreel status`.
+/// Returns the status of a controller as JSON; `eiderreel status` prints it.
 std::string status_json(const Controller& controller);
 
 }  // namespace eiderreel
--- a/tests/standin/controller_runtime.h
+++ b/tests/standin/controller_runtime.h
@@ -76,7 +76,7 @@
                 ControllerProcess& process = cluster->controllers_[i];
                 if (!process.up) return;
                 trace_sink()->node = process.name;
-                process.node->frame(bytes);
+                process.node->receive_peer_message(bytes);
               });
         },
         [] {});
--- a/tests/standin/simulated_cluster_network.cc
+++ b/tests/standin/simulated_cluster_network.cc
@@ -90,18 +90,18 @@
     ControllerProcess& process = controllers_[i];
     if (!process.up) return back({});
     trace_sink()->node = process.name;
-    process.node->request(request.method, request.path,
-                          process.old ? as_old_build_reads(request.body) : request.body,
-                          [this, i, from, request, back](int status, std::string body) {
-                            for (auto at = body.find("\"launch\""); at != std::string::npos;
-                                 at = body.find("\"launch\"", at + 1))
-                              ++launches_[from];
-                            if (request.path == "/v1/report" && status == 200) {
-                              ++heartbeats_accepted_[static_cast<int>(i)];
-                              check_may_act(*controllers_[i].node, request.body);
-                            }
-                            back({status, body});
-                          });
+    process.node->serve_request(request.method, request.path,
+                                process.old ? as_old_build_reads(request.body) : request.body,
+                                [this, i, from, request, back](int status, std::string body) {
+                                  for (auto at = body.find("\"launch\""); at != std::string::npos;
+                                       at = body.find("\"launch\"", at + 1))
+                                    ++launches_[from];
+                                  if (request.path == "/v1/report" && status == 200) {
+                                    ++heartbeats_accepted_[static_cast<int>(i)];
+                                    check_may_act(*controllers_[i].node, request.body);
+                                  }
+                                  back({status, body});
+                                });
   });
 }
 
