--- a/src/cli/check.cc
+++ b/src/cli/check.cc
@@ -1,4 +1,4 @@
-// `eiderreel check`: checks settings files without starting a controller.
+// `eiderreel check`: validates settings files without starting a controller.
 #include "cli/check.h"
 
 #include <iostream>
@@ -8,14 +8,14 @@
 namespace eiderreel::cli {
 
 int check(const SettingsFiles& files) {
-  const auto settings = load(files);
+  const auto settings = load_settings_files(files);
   if (!settings) return exit_code::kUsage;
-  std::cout << files.platform << ": good; node " << settings->node << ", " << settings->peers.size()
-            << " peers, " << settings->teams.size() << " teams in " << settings->partition_count
-            << " partitions\n";
+  std::cout << files.platform << ": valid; node " << settings->node << ", "
+            << settings->peers.size() << " peers, " << settings->teams.size() << " teams in "
+            << settings->partition_count << " partitions\n";
   const upgrade::UpgradeSettings& upgrade = settings->upgrade;
   if (upgrade.enabled)
-    std::cout << files.upgrade << ": good; versions " << upgrade::to_string(upgrade.range)
+    std::cout << files.upgrade << ": valid; versions " << upgrade::to_string(upgrade.range)
               << ", automatic steps " << (upgrade.automatic ? "on" : "off") << "\n";
   return exit_code::kSuccess;
 }
--- a/src/cli/exit_code.cc
+++ b/src/cli/exit_code.cc
@@ -1,16 +1,16 @@
-// The report of a failure.
+// Error messages of the command line.
 #include "cli/exit_code.h"
 
 #include <iostream>
 
 namespace eiderreel::cli {
 
-void print_error(const std::string& command, const std::string& what) {
-  std::cerr << "eiderreel " << command << ": " << what << "\n";
+void print_error(const std::string& command, const std::string& message) {
+  std::cerr << "eiderreel " << command << ": " << message << "\n";
 }
 
-int fail(int code, const std::string& command, const std::string& what) {
-  print_error(command, what);
+int fail(int code, const std::string& command, const std::string& message) {
+  print_error(command, message);
   return code;
 }
 
--- a/src/cli/http_call.cc
+++ b/src/cli/http_call.cc
@@ -1,4 +1,4 @@
-// HTTP requests of the command line to a running controller.
+// Synchronous HTTP requests from the command line to a running controller.
 #include "cli/http_call.h"
 
 #include <utility>
--- a/src/cli/http_call.h
+++ b/src/cli/http_call.h
@@ -1,4 +1,4 @@
-// HTTP requests of the command line to a running controller.
+// Synchronous HTTP requests from the command line to a running controller.
 #pragma once
 #include <string>
 
@@ -7,12 +7,13 @@
 
 namespace eiderreel::cli {
 
-/// Sends one request and waits for its answer, for at most `timeout` milliseconds. The answer has
-/// status 0 if none came. `addr` is IP:PORT.
+/// Sends one request to `addr` (IP:PORT) and blocks until the reply arrives or `timeout`
+/// milliseconds have passed. The reply has status 0 if `addr` is malformed, the connection failed
+/// or no reply arrived in time.
 HttpReply http_call(const std::string& addr, const std::string& method, const std::string& path,
                     const std::string& body, Ms timeout);
 
-/// Whether the text is an address of the form IP:PORT.
+/// Returns whether `text` is an address of the form IP:PORT.
 bool is_address(const std::string& text);
 
 }  // namespace eiderreel::cli
--- a/src/cli/json_fields.cc
+++ b/src/cli/json_fields.cc
@@ -1,4 +1,5 @@
-// Lenient access to the fields of a controller's answer, which may be of another build.
+// Lenient access to the fields of a controller's JSON reply. The controller may run another build,
+// so any field may be missing or of another type.
 #include "cli/json_fields.h"
 
 namespace eiderreel::cli {
--- a/src/cli/json_fields.h
+++ b/src/cli/json_fields.h
@@ -1,4 +1,5 @@
-// Lenient access to the fields of a controller's answer, which may be of another build.
+// Lenient access to the fields of a controller's JSON reply. The controller may run another build,
+// so any field may be missing or of another type.
 #pragma once
 #include <rapidjson/document.h>
 
@@ -6,15 +7,15 @@
 
 namespace eiderreel::cli {
 
-/// A field of any type; null if it is missing or `object` is no object.
+/// Returns a field of any type; null if it is missing or `object` is not an object.
 const rapidjson::Value* field_in(const rapidjson::Value& object, const char* name);
-/// A field that is a list; null if it is missing or of another type.
+/// Returns an array field; null if it is missing or of another type.
 const rapidjson::Value* list_in(const rapidjson::Value& object, const char* name);
-/// A text; empty if it is missing or of another type.
+/// Returns a string field; empty if it is missing or of another type.
 std::string text_in(const rapidjson::Value& object, const char* name);
-/// A number; 0 if it is missing or of another type.
+/// Returns a numeric field; 0 if it is missing or of another type.
 double number_in(const rapidjson::Value& object, const char* name);
-/// A flag; false if it is missing or of another type.
+/// Returns a boolean field; false if it is missing or of another type.
 bool flag_in(const rapidjson::Value& object, const char* name);
 
 }  // namespace eiderreel::cli
--- a/src/cli/serve.cc
+++ b/src/cli/serve.cc
@@ -32,10 +32,10 @@
 }  // namespace
 
 int serve(const SettingsFiles& files) {
-  const auto settings = load(files);
+  const auto settings = load_settings_files(files);
   if (!settings) return exit_code::kUsage;
   set_up_log(settings->node);
-  // A write to a connection that its other side has closed must not end the process.
+  // A write to a connection that the remote side has closed must not terminate the process.
   std::signal(SIGPIPE, SIG_IGN);
   net::EventLoop loop(*settings);
   Controller controller(loop, *settings);
--- a/src/cli/serve.h
+++ b/src/cli/serve.h
@@ -4,8 +4,8 @@
 
 namespace eiderreel::cli {
 
-/// Runs a controller until the process is killed. Returns the exit code if it cannot start: its
-/// settings have problems or an address cannot be bound.
+/// Runs a controller until the process is killed. Returns, with the exit code, only if the
+/// controller cannot start because its settings are invalid or an address cannot be bound.
 int serve(const SettingsFiles& files);
 
 }  // namespace eiderreel::cli
--- a/src/cli/settings_files.h
+++ b/src/cli/settings_files.h
@@ -1,4 +1,4 @@
-// The settings files that `serve` and `check` are given.
+// Loading of the settings files for `serve` and `check`.
 #pragma once
 #include <optional>
 #include <string>
@@ -7,14 +7,14 @@
 
 namespace eiderreel::cli {
 
-/// Paths of the settings files.
+/// Paths of the settings files from the command line.
 struct SettingsFiles {
   std::string platform;
-  std::string upgrade;  ///< The operators' upgrade file; empty if none is given.
+  std::string upgrade;  ///< The operators' upgrade file; empty if not specified.
 };
 
-/// Reads both files. Nothing if one of them has problems, which are written to standard error, one
-/// line each.
-std::optional<Settings> load(const SettingsFiles& files);
+/// Loads the settings from both files. Returns nullopt if a file has problems, which are written to
+/// standard error, one line each.
+std::optional<Settings> load_settings_files(const SettingsFiles& files);
 
 }  // namespace eiderreel::cli
--- a/src/cli/upgrade.cc
+++ b/src/cli/upgrade.cc
@@ -1,4 +1,4 @@
-// `eiderreel upgrade`: questions about cluster versions, and the steps between them.
+// `eiderreel upgrade`: queries of cluster versions, and the steps between versions.
 #include "cli/upgrade.h"
 
 #include <fmt/format.h>
@@ -28,7 +28,7 @@
 
 int fail(int code, const std::string& what) { return cli::fail(code, kCommand, what); }
 
-// An answer of a controller, and whose it is.
+// A reply, with the address of the controller that sent it.
 struct Answer {
   std::string addr;
   HttpReply reply;
@@ -44,14 +44,16 @@
 
 std::string error_in(const Answer& answer) {
   const std::string error = text_in(answer.json, "error");
-  return error.empty() ? fmt::format("answered {}", answer.reply.status) : error;
+  return error.empty() ? fmt::format("HTTP status {}", answer.reply.status) : error;
 }
 
-// Asks one controller after the other until one answers; only for requests that change nothing.
-// Nothing if none has answered.
-std::optional<Answer> read_from_any(const UpgradeCall& call, const std::string& method,
-                                    const std::string& path, const std::string& body) {
-  for (const std::string& addr : call.addrs) {
+// Tries the controllers in order until one replies with 200 and a JSON object, and reports each
+// failure. Returns nullopt if all fail. Only for requests without side effects: a failed request
+// may still have been executed.
+std::optional<Answer> query_first_available(const UpgradeOptions& options,
+                                            const std::string& method, const std::string& path,
+                                            const std::string& body) {
+  for (const std::string& addr : options.addrs) {
     Answer answer = call_controller(addr, method, path, body);
     if (answer.reply.status == http_status::kOk && answer.json.IsObject()) return answer;
     const bool answered = answer.reply.status != http_status::kNoAnswer;
@@ -60,39 +62,39 @@
   return std::nullopt;
 }
 
-int print(const UpgradeCall& call, const Answer& answer,
-          std::string (*text)(const rapidjson::Document&)) {
-  std::cout << (call.json ? answer.reply.body + "\n" : text(answer.json));
+int print_answer(const UpgradeOptions& options, const Answer& answer,
+                 std::string (*format_answer)(const rapidjson::Document&)) {
+  std::cout << (options.json ? answer.reply.body + "\n" : format_answer(answer.json));
   return exit_code::kSuccess;
 }
 
 // Reports the first malformed address.
-bool addresses_are_good(const UpgradeCall& call) {
-  const auto bad = std::find_if_not(call.addrs.begin(), call.addrs.end(), is_address);
-  if (bad == call.addrs.end()) return true;
-  print_error(kCommand, *bad + ": not an address of the form IP:PORT");
+bool addresses_are_valid(const UpgradeOptions& options) {
+  const auto malformed = std::find_if_not(options.addrs.begin(), options.addrs.end(), is_address);
+  if (malformed == options.addrs.end()) return true;
+  print_error(kCommand, *malformed + ": not an address of the form IP:PORT");
   return false;
 }
 
-// A unique name for the request, by which its outcome can be looked up.
-std::string new_request(const std::string& who) {
+// Returns a unique request id, by which the outcome of the request can be queried.
+std::string new_request_id(const std::string& requested_by) {
   std::random_device random;
-  return fmt::format("{}-{:08x}{:08x}", who, random(), random());
+  return fmt::format("{}-{:08x}{:08x}", requested_by, random(), random());
 }
 
-upgrade::StepOrder order_of(const UpgradeCall& call, upgrade::ClusterVersion from) {
+upgrade::StepOrder make_step_order(const UpgradeOptions& options, upgrade::ClusterVersion from) {
   upgrade::StepOrder order;
-  order.step.action = call.action;
-  order.step.without = call.without;
+  order.step.action = options.action;
+  order.step.without = options.excluded_controllers;
   order.from = from;
-  order.request = new_request(call.who);
-  order.who = call.who;
-  order.reason = call.reason;
+  order.request = new_request_id(options.requested_by);
+  order.who = options.requested_by;
+  order.reason = options.reason;
   return order;
 }
 
-int tell_outcome(const UpgradeCall& call, const Answer& answer, const std::string& request) {
-  if (call.json)
+int print_outcome(const UpgradeOptions& options, const Answer& answer, const std::string& request) {
+  if (options.json)
     std::cout << answer.reply.body << "\n";
   else
     std::cout << plan_text(answer.json) << "outcome: " << text_in(answer.json, "outcome")
@@ -100,49 +102,51 @@
   return answer.reply.status == http_status::kOk ? exit_code::kSuccess : exit_code::kFailure;
 }
 
-// Looks for the outcome of a step that got no answer. Nothing while the durable version does not
-// show it yet.
-std::optional<int> look_up(const UpgradeCall& call, const upgrade::StepOrder& order) {
-  const auto status = read_from_any(call, "GET", "/upgrade/status", "");
+// Queries the outcome of a step whose reply is missing. Returns nullopt while the durable version
+// does not yet show the outcome.
+std::optional<int> query_outcome(const UpgradeOptions& options, const upgrade::StepOrder& order) {
+  const auto status = query_first_available(options, "GET", "/upgrade/status", "");
   if (!status) return std::nullopt;
   if (text_in(status->json, "last_request") == order.request) {
-    std::cout << (call.json ? R"({"outcome":"taken"})" : "outcome: taken") << "\n";
+    std::cout << (options.json ? R"({"outcome":"taken"})" : "outcome: taken") << "\n";
     return exit_code::kSuccess;
   }
   const double version = number_in(status->json, "version");
   if (version == 0 || version == number(order.from) || !flag_in(status->json, "current"))
     return std::nullopt;
-  return fail(exit_code::kFailure,
-              fmt::format("not taken: the cluster is at version {:.0f} by another step", version));
+  return fail(
+      exit_code::kFailure,
+      fmt::format("not taken: another step has changed the cluster to version {:.0f}", version));
 }
 
-// The step is not sent again, because it may still be carried out. It is carried out at most once,
-// and the durable version shows whether it was.
-int resolve(const UpgradeCall& call, const upgrade::StepOrder& order) {
-  print_error(kCommand, "no answer, looking for the outcome of request " + order.request);
+// Polls for the outcome of a step whose reply is missing. The step is not retried, because the
+// first request may still be executed. It is executed at most once, and the durable version shows
+// whether it was.
+int resolve_unknown_outcome(const UpgradeOptions& options, const upgrade::StepOrder& order) {
+  print_error(kCommand, "no answer; querying the outcome of request " + order.request);
   for (Ms waited = 0; waited < k::kUpgradeResolveMs; waited += k::kUpgradeResolveEveryMs) {
-    if (const auto outcome = look_up(call, order)) return *outcome;
+    if (const auto outcome = query_outcome(options, order)) return *outcome;
     std::this_thread::sleep_for(std::chrono::milliseconds(k::kUpgradeResolveEveryMs));
   }
   return fail(exit_code::kOutcomeUnknown,
-              "unknown: request " + order.request +
-                  " may have been carried out, or may still be; see `upgrade status`");
+              "outcome unknown: request " + order.request +
+                  " may have been executed or may still be executed; see `upgrade status`");
 }
 
-// Reports what the step lacks.
-bool step_is_well_formed(const UpgradeCall& call) {
-  if (call.reason.empty()) {
-    fail(exit_code::kUsage, "--reason: a changing command needs a reason for its record");
+// Checks that all options which the step requires are set, and reports the first missing one.
+bool step_is_well_formed(const UpgradeOptions& options) {
+  if (options.reason.empty()) {
+    fail(exit_code::kUsage, "--reason: required; the history records the reason of every step");
     return false;
   }
-  if (!call.without.empty() && !call.confirmed) {
+  if (!options.excluded_controllers.empty() && !options.confirmed) {
     fail(exit_code::kUsage,
-         "--without: leaving a controller out needs --yes; first make sure that it is "
-         "gone, or will come back as this build");
+         "--without: excluding a controller requires --yes; first make sure that it is "
+         "gone, or will restart with this build");
     return false;
   }
-  if (call.action == upgrade::Action::finalize && !call.confirmed) {
-    fail(exit_code::kUsage, "finalize: cannot be taken back and needs --yes");
+  if (options.action == upgrade::Action::finalize && !options.confirmed) {
+    fail(exit_code::kUsage, "finalize: cannot be undone once taken and requires --yes");
     return false;
   }
   return true;
@@ -150,37 +154,37 @@
 
 }  // namespace
 
-int upgrade_status(const UpgradeCall& call) {
-  if (!addresses_are_good(call)) return exit_code::kUsage;
-  const auto answer = read_from_any(call, "GET", "/upgrade/status", "");
-  return answer ? print(call, *answer, status_text) : exit_code::kFailure;
+int upgrade_status(const UpgradeOptions& options) {
+  if (!addresses_are_valid(options)) return exit_code::kUsage;
+  const auto answer = query_first_available(options, "GET", "/upgrade/status", "");
+  return answer ? print_answer(options, *answer, status_text) : exit_code::kFailure;
 }
 
-int upgrade_history(const UpgradeCall& call) {
-  if (!addresses_are_good(call)) return exit_code::kUsage;
-  const auto answer = read_from_any(call, "GET", "/upgrade/history", "");
-  return answer ? print(call, *answer, history_text) : exit_code::kFailure;
+int upgrade_history(const UpgradeOptions& options) {
+  if (!addresses_are_valid(options)) return exit_code::kUsage;
+  const auto answer = query_first_available(options, "GET", "/upgrade/history", "");
+  return answer ? print_answer(options, *answer, history_text) : exit_code::kFailure;
 }
 
-int upgrade_plan(const UpgradeCall& call) {
-  if (!addresses_are_good(call)) return exit_code::kUsage;
-  const std::string body = codec::encode(order_of(call, upgrade::kFirstVersion));
-  const auto answer = read_from_any(call, "POST", "/upgrade/plan", body);
+int upgrade_plan(const UpgradeOptions& options) {
+  if (!addresses_are_valid(options)) return exit_code::kUsage;
+  const std::string body = codec::encode(make_step_order(options, upgrade::kFirstVersion));
+  const auto answer = query_first_available(options, "POST", "/upgrade/plan", body);
   if (!answer) return exit_code::kFailure;
-  print(call, *answer, plan_text);
+  print_answer(options, *answer, plan_text);
   return flag_in(answer->json, "possible") ? exit_code::kSuccess : exit_code::kFailure;
 }
 
-int upgrade_step(const UpgradeCall& call) {
-  if (!addresses_are_good(call)) return exit_code::kUsage;
-  if (call.dry_run) return upgrade_plan(call);
-  if (!step_is_well_formed(call)) return exit_code::kUsage;
-  const auto status = read_from_any(call, "GET", "/upgrade/status", "");
+int upgrade_step(const UpgradeOptions& options) {
+  if (!addresses_are_valid(options)) return exit_code::kUsage;
+  if (options.dry_run) return upgrade_plan(options);
+  if (!step_is_well_formed(options)) return exit_code::kUsage;
+  const auto status = query_first_available(options, "GET", "/upgrade/status", "");
   if (!status) return exit_code::kFailure;
   const double version = number_in(status->json, "version");
   if (version == 0) return fail(exit_code::kFailure, "the cluster version is unknown");
   const auto from = static_cast<upgrade::ClusterVersion>(static_cast<std::uint32_t>(version));
-  const upgrade::StepOrder order = order_of(call, from);
+  const upgrade::StepOrder order = make_step_order(options, from);
   const Answer answer =
       call_controller(status->addr, "POST", "/upgrade/step", codec::encode(order));
   switch (answer.reply.status) {
@@ -189,11 +193,11 @@
     case http_status::kServiceUnavailable:
       if (text_in(answer.json, "outcome").empty())
         return fail(exit_code::kFailure, error_in(answer));
-      return tell_outcome(call, answer, order.request);
+      return print_outcome(options, answer, order.request);
     case http_status::kBadRequest:
       return fail(exit_code::kUsage, error_in(answer));
     default:
-      return resolve(call, order);
+      return resolve_unknown_outcome(options, order);
   }
 }
 
--- a/src/cli/upgrade_commands.h
+++ b/src/cli/upgrade_commands.h
@@ -1,4 +1,4 @@
-// `eiderreel upgrade ...`: the subcommands and their options.
+// Command-line parsing of the `eiderreel upgrade` subcommands.
 #pragma once
 #include <CLI/CLI.hpp>
 #include <string>
@@ -7,19 +7,19 @@
 
 namespace eiderreel::cli {
 
-/// The `upgrade` subcommands of a command line.
+/// Defines the `upgrade` subcommands of the command line and runs the selected one.
 class UpgradeCommands {
  public:
   /// Adds the subcommands to `app`, which must outlive this object.
   explicit UpgradeCommands(CLI::App& app);
-  /// Whether one of them was given on the command line.
-  bool asked() const { return upgrade_->parsed(); }
-  /// Carries it out and returns the exit code.
+  /// Returns whether the command line selects an `upgrade` subcommand.
+  bool selected() const { return upgrade_->parsed(); }
+  /// Runs the selected subcommand and returns the exit code.
   int run();
 
  private:
-  UpgradeCall call_;
-  std::string action_ = "advance";  // of `plan`
+  UpgradeOptions options_;
+  std::string action_ = "advance";  // value of --action of the `plan` subcommand
   CLI::App* upgrade_;
   CLI::App* status_;
   CLI::App* plan_;
--- a/src/cli/upgrade_print.cc
+++ b/src/cli/upgrade_print.cc
@@ -1,4 +1,4 @@
-// Answers to the upgrade commands as tables for people.
+// Human-readable output of the upgrade commands.
 #include "cli/upgrade_print.h"
 
 #include <date/date.h>
@@ -15,9 +15,9 @@
 using rapidjson::Value;
 
 constexpr const char* kUnknown = "unknown";
-constexpr double kRateMin = 0.01;  // values a second; a slower conversion has no useful estimate
+constexpr double kMinValuesPerS = 0.01;  // below this rate an estimate is not useful
 
-// A version, or that it is not known.
+// Formats a version field; "unknown" if it is missing or 0.
 std::string version_in(const Value& object, const char* name) {
   const double version = number_in(object, name);
   return version > 0 ? fmt::format("{:.0f}", version) : kUnknown;
@@ -26,11 +26,11 @@
 std::string time_in(const Value& object, const char* name) {
   const auto ms = static_cast<std::int64_t>(number_in(object, name));
   if (ms <= 0) return "-";
-  const date::sys_time<std::chrono::milliseconds> moment{std::chrono::milliseconds(ms)};
-  return date::format("%FT%TZ", date::floor<std::chrono::seconds>(moment));
+  const date::sys_time<std::chrono::milliseconds> time_point{std::chrono::milliseconds(ms)};
+  return date::format("%FT%TZ", date::floor<std::chrono::seconds>(time_point));
 }
 
-std::string joined(const Value* list) {
+std::string join_entries(const Value* list) {
   std::string out;
   if (!list) return out;
   for (const auto& entry : list->GetArray()) {
@@ -42,13 +42,13 @@
 
 std::string controllers_text(const Value& status) {
   std::string out = fmt::format("{:<20}{:<16}{:<12}{:<12}{}\n", "controller", "state", "build",
-                                "versions", "acts under");
+                                "versions", "acting version");
   const Value* controllers = list_in(status, "controllers");
   if (!controllers) return out;
   for (const auto& row : controllers->GetArray()) {
-    const bool known = number_in(row, "newest") > 0;
+    const bool has_versions = number_in(row, "newest") > 0;
     const std::string versions =
-        known ? version_in(row, "oldest") + " to " + version_in(row, "newest") : kUnknown;
+        has_versions ? version_in(row, "oldest") + " to " + version_in(row, "newest") : kUnknown;
     const std::string build = text_in(row, "build");
     out += fmt::format("{:<20}{:<16}{:<12}{:<12}{}\n", text_in(row, "name"), text_in(row, "state"),
                        build.empty() ? kUnknown : build, versions, version_in(row, "acting"));
@@ -56,49 +56,51 @@
   return out;
 }
 
-// When a conversion will end, given the values left and the values converted a second.
-std::string estimate(double left, double per_s) {
-  if (left == 0) return "none left";
-  if (per_s < kRateMin) return fmt::format("end {}", kUnknown);
-  return fmt::format("about {:.0f} s left", std::ceil(left / per_s));
+// Formats the estimated time until a conversion ends.
+std::string format_time_left(double values_left, double values_per_s) {
+  if (values_left == 0) return "none left";
+  if (values_per_s < kMinValuesPerS) return fmt::format("end {}", kUnknown);
+  return fmt::format("about {:.0f} s left", std::ceil(values_left / values_per_s));
 }
 
 std::string conversion_text(const Value& status) {
   const Value* conversion = field_in(status, "conversion");
   if (!conversion) return "";
-  const std::string to = text_in(*conversion, "to");
+  const std::string target_form = text_in(*conversion, "to");
   std::string out;
-  if (to == "none") {
-    out = "no conversion goes on\n";
+  if (target_form == "none") {
+    out = "no conversion in progress\n";
   } else {
-    const double left = number_in(*conversion, "left");
-    const double per_s = number_in(*conversion, "per_s");
+    const double values_left = number_in(*conversion, "left");
+    const double values_per_s = number_in(*conversion, "per_s");
     out =
         fmt::format("conversion to {}: {:.0f} values left, {:.0f} converted, {:.2f} a second, {}\n",
-                    to, left, number_in(*conversion, "converted"), per_s, estimate(left, per_s));
+                    target_form, values_left, number_in(*conversion, "converted"), values_per_s,
+                    format_time_left(values_left, values_per_s));
   }
   if (const double unreadable = number_in(*conversion, "unreadable"); unreadable > 0)
     out += fmt::format("{:.0f} values cannot be read\n", unreadable);
-  const std::string partitions = joined(list_in(*conversion, "unknown_partitions"));
+  const std::string partitions = join_entries(list_in(*conversion, "unknown_partitions"));
   if (!partitions.empty())
-    out += "unknown: partitions " + partitions + ", nobody who owns them is heard\n";
+    out += "unknown: partitions " + partitions +
+           ", no recent report from the controllers who lead them\n";
   return out;
 }
 
-// A step that was asked for, and below it what stood in its way.
+// Formats a requested step, followed by one line for each obstacle.
 std::string history_row(const Value& row) {
   std::string out =
       fmt::format("{}  {}  {}", time_in(row, "at_ms"), text_in(row, "who"), text_in(row, "action"));
   out +=
       fmt::format(" from {} to {}: {}", version_in(row, "from"),
                   number_in(row, "to") > 0 ? version_in(row, "to") : "-", text_in(row, "outcome"));
-  out += fmt::format("  (asked {}, request {}, reason: {})\n", text_in(row, "controller"),
+  out += fmt::format("  (sent to {}, request {}, reason: {})\n", text_in(row, "controller"),
                      text_in(row, "request"), text_in(row, "reason"));
-  if (const std::string without = joined(list_in(row, "without")); !without.empty())
+  if (const std::string without = join_entries(list_in(row, "without")); !without.empty())
     out += "    without " + without + "\n";
   if (const Value* obstacles = list_in(row, "obstacles"))
     for (const auto& obstacle : obstacles->GetArray())
-      out += fmt::format("    missing: {}\n", obstacle.GetString());
+      out += fmt::format("    obstacle: {}\n", obstacle.GetString());
   return out;
 }
 
@@ -109,14 +111,14 @@
   if (const std::string who = text_in(status, "changed_by"); !who.empty())
     out += fmt::format(", since {} by {} (request {})", time_in(status, "changed_at_ms"), who,
                        text_in(status, "last_request"));
-  out += fmt::format("\ntold by {}", text_in(status, "controller"));
-  if (!flag_in(status, "current"))
-    out += "; it does not reach the state service, so this may be old";
+  out += fmt::format("\nreported by {}", text_in(status, "controller"));
+  if (!flag_in(status, "current")) out += "; it cannot reach the state store, so this may be stale";
   out += "\n";
-  if (const std::string aside = text_in(status, "stands_aside"); !aside.empty())
-    out += "it stands aside: " + aside + "\n";
-  if (const std::string doubt = text_in(status, "step_in_doubt"); !doubt.empty())
-    out += "unknown: whether the step of request " + doubt + " was taken\n";
+  if (const std::string standby_reason = text_in(status, "stands_aside"); !standby_reason.empty())
+    out += "it is in standby: " + standby_reason + "\n";
+  if (const std::string request_in_doubt = text_in(status, "step_in_doubt");
+      !request_in_doubt.empty())
+    out += "unknown: whether the step of request " + request_in_doubt + " was taken\n";
   out += fmt::format("automatic steps {}{}\n", flag_in(status, "automatic") ? "on" : "off",
                      flag_in(status, "in_maintenance_window") ? ", in a maintenance window" : "");
   return out + "\n" + controllers_text(status) + "\n" + conversion_text(status);
@@ -130,10 +132,10 @@
   out += "\n";
   if (!effect.empty()) out += "effect: " + effect + "\n";
   const Value* obstacles = list_in(plan, "obstacles");
-  if (!obstacles || obstacles->Empty()) return out + "nothing stands in its way\n";
+  if (!obstacles || obstacles->Empty()) return out + "no obstacles\n";
   for (const auto& obstacle : obstacles->GetArray()) {
     const std::string controller = text_in(obstacle, "controller");
-    out += fmt::format("missing: {}: {}\n", controller.empty() ? "cluster" : controller,
+    out += fmt::format("obstacle: {}: {}\n", controller.empty() ? "cluster" : controller,
                        text_in(obstacle, "what"));
   }
   return out;
@@ -141,7 +143,7 @@
 
 std::string history_text(const rapidjson::Document& history) {
   const Value* rows = list_in(history, "history");
-  if (!rows || rows->Empty()) return "no step was asked for\n";
+  if (!rows || rows->Empty()) return "no step has been requested\n";
   std::string out;
   for (const auto& row : rows->GetArray()) out += history_row(row);
   return out;
--- a/src/cli/upgrade_print.h
+++ b/src/cli/upgrade_print.h
@@ -1,4 +1,4 @@
-// Answers to the upgrade commands as tables for people.
+// Human-readable output of the upgrade commands.
 #pragma once
 #include <rapidjson/document.h>
 
@@ -6,11 +6,12 @@
 
 namespace eiderreel::cli {
 
-/// The cluster's version, the controllers with their builds, and the state of the conversion.
+/// Formats the reply to `upgrade status`: the cluster's version, the controllers with their builds,
+/// and the state of the conversion.
 std::string status_text(const rapidjson::Document& status);
-/// What a step needs and does, and what stands in its way.
+/// Formats the plan of a step: its effect and its obstacles.
 std::string plan_text(const rapidjson::Document& plan);
-/// The steps that were asked for, with their outcomes.
+/// Formats the history: the requested steps with their outcomes.
 std::string history_text(const rapidjson::Document& history);
 
 }  // namespace eiderreel::cli
--- a/src/net/event_loop.cc
+++ b/src/net/event_loop.cc
@@ -37,7 +37,7 @@
 struct EventLoop::OneShotTimer {
   EventLoop* loop;
   std::function<void()> callback;
-  std::list<OneShotTimer>::iterator self;
+  std::list<OneShotTimer>::iterator position;
 };
 
 EventLoop::EventLoop(const Settings& settings)
@@ -77,18 +77,18 @@
 double EventLoop::random() { return std::uniform_real_distribution<double>(0, 1)(random_engine_); }
 
 void EventLoop::on_one_shot(evutil_socket_t /*socket*/, short /*events*/, void* timer) {
-  const auto self = static_cast<OneShotTimer*>(timer)->self;
-  EventLoop& loop = *self->loop;
+  const auto position = static_cast<OneShotTimer*>(timer)->position;
+  EventLoop& loop = *position->loop;
   // The callback may add timers to the list, so this timer is removed before it is called.
-  const std::function<void()> callback = std::move(self->callback);
-  loop.one_shot_timers_.erase(self);
+  const std::function<void()> callback = std::move(position->callback);
+  loop.one_shot_timers_.erase(position);
   callback();
 }
 
 void EventLoop::after(Ms delay, std::function<void()> callback) {
   OneShotTimer& timer = one_shot_timers_.emplace_back(
       OneShotTimer{this, std::move(callback), one_shot_timers_.end()});
-  timer.self = std::prev(one_shot_timers_.end());
+  timer.position = std::prev(one_shot_timers_.end());
   const timeval timeout = to_timeval(delay);
   event_base_once(base_.get(), -1, EV_TIMEOUT, &EventLoop::on_one_shot, &timer, &timeout);
 }
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -59,7 +59,7 @@
   const Settings& settings_;
   std::string boot_id_;
   std::mt19937_64 random_engine_;
-  // The members below hold events of this base, so it is declared first and destroyed last.
+  // The members below hold events of this base, so it is declared before them and freed last.
   EventBasePtr base_;
   HttpClientPool clients_;
   std::unique_ptr<PeerLinks> peer_links_;
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -33,7 +33,7 @@
   bool close_after_reply;
   OnReply on_reply;
   EvhttpConnectionPtr connection;
-  std::list<Call>::iterator self;
+  std::list<Call>::iterator position;
 };
 
 HttpClient::HttpClient(event_base* base, Address address)
@@ -65,29 +65,29 @@
 }
 
 void HttpClient::on_request_done(evhttp_request* request, void* call) {
-  const auto self = static_cast<Call*>(call)->self;
-  Call done = std::move(*self);
-  HttpClient& client = *done.client;
-  client.open_calls_.erase(self);
+  const auto position = static_cast<Call*>(call)->position;
+  Call finished_call = std::move(*position);
+  HttpClient& client = *finished_call.client;
+  client.open_calls_.erase(position);
   HttpReply reply;
   // If the connection failed or timed out, the request is null or its status is 0.
   if (request && evhttp_request_get_response_code(request) != http_status::kNoAnswer) {
     reply.status = evhttp_request_get_response_code(request);
     reply.body = take_body(request);
-    if (done.close_after_reply)
-      evhttp_connection_free_on_completion(done.connection.release());
+    if (finished_call.close_after_reply)
+      evhttp_connection_free_on_completion(finished_call.connection.release());
     else
-      client.idle_connections_.push_back(std::move(done.connection));
+      client.idle_connections_.push_back(std::move(finished_call.connection));
   } else {
-    client.free_after_callback(std::move(done.connection));
+    client.free_after_callback(std::move(finished_call.connection));
   }
-  done.on_reply(std::move(reply));
+  finished_call.on_reply(std::move(reply));
 }
 
 void HttpClient::send(const HttpRequest& request, OnReply on_reply) {
   Call& call = open_calls_.emplace_back(
       Call{this, request.once, std::move(on_reply), take_connection(), open_calls_.end()});
-  call.self = std::prev(open_calls_.end());
+  call.position = std::prev(open_calls_.end());
   evhttp_connection* connection = call.connection.get();
   const timeval timeout = to_timeval(request.timeout);
   evhttp_connection_set_timeout_tv(connection, &timeout);
--- a/tests/processes/command_line_test.cc
+++ b/tests/processes/command_line_test.cc
@@ -134,7 +134,7 @@
   cluster_.kill(0);
   cluster_.run_for(6);
   EXPECT_LT(timed(advance, {kFailed}), kBoundedS);
-  EXPECT_NE(cluster_.last_output().find("missing: n0"), std::string::npos);
+  EXPECT_NE(cluster_.last_output().find("obstacle: n0"), std::string::npos);
   cluster_.start(0, build_);
   ASSERT_TRUE(all_act_under(1));
 
