--- a/src/cli/serve.cc
+++ b/src/cli/serve.cc
@@ -32,18 +32,18 @@
 }  // namespace
 
 int serve(const SettingsFiles& files) {
-  const auto settings = load(files);
+  const auto settings = load_settings_files(files);
   if (!settings) return exit_code::kUsage;
   set_up_log(settings->node);
-  // A write to a connection that its other side has closed must not end the process.
+  // A write to a connection that the remote side has closed must not terminate the process.
   std::signal(SIGPIPE, SIG_IGN);
   net::EventLoop loop(*settings);
   Controller controller(loop, *settings);
   const auto on_request = [&](const std::string& method, const std::string& path,
                               const std::string& body, const Reply& reply) {
-    controller.request(method, path, body, reply);
+    controller.serve_request(method, path, body, reply);
   };
-  const auto on_frame = [&](const std::string& bytes) { controller.frame(bytes); };
+  const auto on_frame = [&](const std::string& bytes) { controller.receive_peer_message(bytes); };
   if (const auto listening = loop.listen(on_request, on_frame); !listening) {
     spdlog::error("start failed node={} reason=\"{}\"", settings->node,
                   net::to_string(listening.error()));
@@ -52,7 +52,7 @@
   spdlog::info("start node={} api={} peer={} boot={}", settings->node, settings->api_addr,
                settings->peer_addr, loop.boot_id());
   controller.start();
-  loop.every(constants::kTickMs, [&] { controller.tick(); });
+  loop.call_every(constants::kTickMs, [&] { controller.tick(); });
   loop.run();
   return exit_code::kSuccess;
 }
