--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -58,11 +58,11 @@
 
 void JobApi::reply_final(const std::string& id, JobPhase phase, bool cancel, const Reply& reply) {
   reply(http_status::kOk,
-        cancel ? codec::job_answer(id, phase) : codec::job_status(id, {phase, 0, 0}));
+        cancel ? codec::job_phase_body(id, phase) : codec::job_status_body(id, {phase, 0, 0}));
 }
 
 JobApi::OpenJobReply JobApi::queued_reply(const std::string& id, Ms asked_at) {
-  return {asked_at, http_status::kOk, codec::job_status(id, {JobPhase::queued, 0, 0})};
+  return {asked_at, http_status::kOk, codec::job_status_body(id, {JobPhase::queued, 0, 0})};
 }
 
 // Invariant 8: what the leader or the state store said of an open job may have been long on its
--- a/src/api/job_submission.cc
+++ b/src/api/job_submission.cc
@@ -99,7 +99,7 @@
                                     const Reply& reply) {
   if (result) {
     if (*result == Admission::known_before) return look_up_(id, reply);
-    return reply(http_status::kCreated, codec::job_answer(id, JobPhase::queued));
+    return reply(http_status::kCreated, codec::job_phase_body(id, JobPhase::queued));
   }
   switch (result.error()) {
     case AdmissionFailure::unknown_prerequisite:
--- a/src/codec/cloud_json.cc
+++ b/src/codec/cloud_json.cc
@@ -58,7 +58,7 @@
   MachineList list;
   list.machines = std::move(*machines);
   FieldReader reader(*document);
-  reader.required(wire::cloud::kMore, list.more);
+  reader.required(wire::cloud::kMore, list.has_more);
   return reader.result(std::move(list));
 }
 
--- a/src/codec/cloud_json.h
+++ b/src/codec/cloud_json.h
@@ -23,7 +23,7 @@
 /// One page of the cloud's list of machines.
 struct MachineList {
   std::vector<ListedMachine> machines;
-  bool more = false;  // further pages follow
+  bool has_more = false;  // whether further pages follow
 };
 
 /// Parses the answer to "GET /catalog".
--- a/src/codec/job_json.cc
+++ b/src/codec/job_json.cc
@@ -42,14 +42,14 @@
   return wire::job::kPhases.at(static_cast<std::size_t>(phase));
 }
 
-std::string job_answer(const std::string& id, JobPhase phase) {
+std::string job_phase_body(const std::string& id, JobPhase phase) {
   return encode_object([&](Writer& writer) {
     put(writer, wire::job::kId, id);
     put(writer, wire::job::kPhase, std::string(phase_name(phase)));
   });
 }
 
-std::string job_status(const std::string& id, const JobStatus& status) {
+std::string job_status_body(const std::string& id, const JobStatus& status) {
   return encode_object([&](Writer& writer) {
     put(writer, wire::job::kId, id);
     put(writer, wire::job::kPhase, std::string(phase_name(status.phase)));
--- a/src/codec/state_json.cc
+++ b/src/codec/state_json.cc
@@ -55,7 +55,7 @@
   Buffer buffer;
   Writer writer(buffer);
   value.Accept(writer);
-  row.text.assign(buffer.GetString(), buffer.GetSize());
+  row.json_value.assign(buffer.GetString(), buffer.GetSize());
 }
 
 struct ValueReader {
@@ -101,7 +101,7 @@
   FieldReader reader(*document);
   StateList list;
   reader.required(wire::store::kStoreRevision, list.store_revision);
-  reader.optional(wire::store::kMore, list.more);
+  reader.optional(wire::store::kMore, list.has_more);
   if (reader.failed()) return reader.result(std::move(list));
   auto rows = parse_objects(*document, name, read_row);
   if (!rows) return tl::unexpected(rows.error());
--- a/src/codec/state_json.h
+++ b/src/codec/state_json.h
@@ -24,13 +24,13 @@
   std::optional<MachineRecord> machine;
   std::optional<NodeRecord> node;
   std::optional<JobSpec> job;
-  std::size_t prerequisite_chunks = 0;  // 0: prerequisites are in the job's record
+  std::size_t prerequisite_chunks = 0;  // number; 0: prerequisites are in the job's record
   std::optional<PrerequisiteChunk> prerequisites;
   std::optional<JobPhase> final_phase;
   std::optional<Ms> final_at;  // wall clock; earlier builds did not write it
   std::optional<ProgressRecord> progress;
   std::optional<VersionRecord> version;
-  std::string text;  // undecoded JSON value of keys that another codec decodes
+  std::string json_value;  // undecoded JSON value of keys that another codec decodes
 
   /// Whether the row is the record of a job with prerequisites.
   bool has_prerequisites() const {
@@ -42,7 +42,7 @@
 struct StateList {
   std::vector<StateRow> rows;
   std::uint64_t store_revision = 0;  // the rows include all changes up to this revision
-  bool more = false;                 // further pages follow
+  bool has_more = false;             // whether further pages follow
 };
 
 /// Parses the answer to "GET /kv?prefix=".
--- a/src/codec/state_keys.cc
+++ b/src/codec/state_keys.cc
@@ -13,7 +13,7 @@
 // The last segment of the key of a task range. A full chunk is named by its index, as earlier
 // builds do.
 std::string range_name(const TaskRange& range) {
-  if (range.whole) return wire::key::kWholeJob;
+  if (range.whole_job) return wire::key::kWholeJob;
   if (range.count == constants::kProgressChunkTasks)
     return std::to_string(range.first / constants::kProgressChunkTasks);
   return "p" + std::to_string(range.first);
--- a/src/codec/state_keys.h
+++ b/src/codec/state_keys.h
@@ -29,11 +29,10 @@
 std::string progress_prefix(int partition);
 /// The key of the progress of a range of a job's tasks.
 std::string progress_key(int partition, const std::string& id, const TaskRange& range);
-/// A key that sorts directly before the final record of this job.
+/// A key that sorts before the final record of this job, and after those of all lower job ids.
 std::string before_final_key(const std::string& id);
 /// The key of a chunk of prerequisites that do not fit into the job's record. `nonce` is that of
-/// the record, so that chunks written by another attempt to accept the job are never mixed with
-/// them.
+/// the record, so that the chunks of another attempt to accept the job are never taken for its own.
 std::string prerequisite_key(const std::string& id, const std::string& nonce, std::size_t chunk);
 
 /// The parts of the key of a prerequisite chunk.
--- a/src/codec/state_records.cc
+++ b/src/codec/state_records.cc
@@ -42,7 +42,7 @@
 }
 
 void put_range(Writer& writer, const TaskRange& range) {
-  if (!range.whole && range.count == constants::kProgressChunkTasks)
+  if (!range.whole_job && range.count == constants::kProgressChunkTasks)
     put(writer, wire::record::kChunk, std::uint64_t{range.first / constants::kProgressChunkTasks});
   else
     put(writer, wire::record::kFirstTask, std::uint64_t{range.first});
--- a/src/codec/state_records.h
+++ b/src/codec/state_records.h
@@ -64,7 +64,7 @@
 struct TaskRange {
   std::uint32_t first = 0;
   std::uint32_t count = 0;
-  bool whole = false;  // true: all tasks of the job; used by the compact form only
+  bool whole_job = false;  // true: all tasks of the job; used by the compact form only
   bool operator<(const TaskRange& other) const { return first < other.first; }
 };
 
--- a/src/fleet/machine_inventory.cc
+++ b/src/fleet/machine_inventory.cc
@@ -59,7 +59,7 @@
     in_list_.insert(machine.id);
     machines_[machine.id] = {machine, now};
   }
-  if (page->more && !page->machines.empty()) return read_page(page->machines.back().id);
+  if (page->has_more && !page->machines.empty()) return read_page(page->machines.back().id);
   end_list();
   on_list_complete();
 }
--- a/src/leadership/job_finalizer.cc
+++ b/src/leadership/job_finalizer.cc
@@ -63,7 +63,7 @@
   if (outcome == CasOutcome::ok) {
     spdlog::info("job {} job={} fencing_token={}", codec::phase_name(phase), job,
                  term.fencing_token);
-    return reply(http_status::kOk, codec::job_answer(job, phase));
+    return reply(http_status::kOk, codec::job_phase_body(job, phase));
   }
   LedPartition* led = led_.find(term);
   if (JobPersistence* persistence = led ? led->find_persistence(job) : nullptr) {
--- a/src/leadership/partition_jobs.cc
+++ b/src/leadership/partition_jobs.cc
@@ -121,7 +121,7 @@
     const JobPersistence* persistence = led->find_persistence(query.job);
     if (persistence && persistence->final_commit)
       return decline(done, JobQueryError::outcome_in_doubt);
-    return done(HttpReply{http_status::kOk, codec::job_status(query.job, *status)});
+    return done(HttpReply{http_status::kOk, codec::job_status_body(query.job, *status)});
   }
   // Its tasks are of no use to anyone from now on. Killed only after the commit, they would go on
   // for as long as its outcome is in doubt.
@@ -138,8 +138,8 @@
   if (state_store_.view().dependencies.cancelled(query.job))
     return done(HttpReply{http_status::kOk,
                           query.cancel
-                              ? codec::job_answer(query.job, JobPhase::cancelled)
-                              : codec::job_status(query.job, {JobPhase::cancelled, 0, 0})});
+                              ? codec::job_phase_body(query.job, JobPhase::cancelled)
+                              : codec::job_status_body(query.job, {JobPhase::cancelled, 0, 0})});
   if (query.cancel) {
     led.persistence[query.job].cancel_asked = true;
     return finalizer_.commit(led, query.job, reply_to(done));
@@ -148,7 +148,7 @@
   const bool may_be_final = persistence != nullptr && persistence->final_commit.has_value();
   if (may_be_final || state_store_.replica().is_unresolved(query.job))
     return decline(done, JobQueryError::outcome_in_doubt);
-  done(HttpReply{http_status::kOk, codec::job_status(query.job, {JobPhase::queued, 0, 0})});
+  done(HttpReply{http_status::kOk, codec::job_status_body(query.job, {JobPhase::queued, 0, 0})});
 }
 
 }  // namespace eiderreel
--- a/src/state_store/store_reader.cc
+++ b/src/state_store/store_reader.cc
@@ -81,7 +81,7 @@
       return;
     }
     query->rows.insert(query->rows.end(), page->rows.begin(), page->rows.end());
-    if (!page->more || page->rows.empty()) {
+    if (!page->has_more || page->rows.empty()) {
       query->done(std::move(query->rows));
       return;
     }
@@ -125,7 +125,7 @@
   const std::set<std::string> asked(query.ids.begin(), query.ids.end());
   for (const auto& row : page.rows)
     if (asked.contains(codec::key_name(row.key))) replica_.apply(row, true);
-  const bool last = !page.more || page.rows.empty();
+  const bool last = !page.has_more || page.rows.empty();
   const std::string covered = last ? "" : codec::key_name(page.rows.back().key);
   // At least one goes, so that every read leads on.
   query.ids.pop_back();
--- a/src/state_store/store_watcher.cc
+++ b/src/state_store/store_watcher.cc
@@ -59,7 +59,7 @@
     loaded_.insert(row.key);
     dependencies_.replica.apply(row, true);
   }
-  if (page.more && !page.rows.empty())
+  if (page.has_more && !page.rows.empty())
     load_page(prefix_index, page.rows.back().key);
   else
     load_page(prefix_index + 1, "");
--- a/src/upgrade/step_history.cc
+++ b/src/upgrade/step_history.cc
@@ -79,7 +79,8 @@
     if (!rows) return done(std::nullopt);
     std::vector<StepRecord> records;
     for (const auto& row : *rows)
-      if (auto record = codec::parse_step_record(row.text)) records.push_back(std::move(*record));
+      if (auto record = codec::parse_step_record(row.json_value))
+        records.push_back(std::move(*record));
     done(std::move(records));
   });
 }
--- a/tests/chain_cancellation_test.cc
+++ b/tests/chain_cancellation_test.cc
@@ -32,7 +32,7 @@
       cluster,
       {"run-1", "run-2", "run-3", id(100 + 200), id(100 + 202), id(100 + 210), id(100 + 700)},
       "cancelled");
-  EXPECT_EQ(repeated[codec::job_status("run-3", {JobPhase::cancelled, 0, 0})], 3);
+  EXPECT_EQ(repeated[codec::job_status_body("run-3", {JobPhase::cancelled, 0, 0})], 3);
   EXPECT_EQ(cluster.keys_under("e/job/"), 0u);  // each has a final record of its own
   EXPECT_EQ(cluster.keys_under("e/final/"), 7u);
   expect_rules_kept(cluster);
--- a/tests/stored_state_test.cc
+++ b/tests/stored_state_test.cc
@@ -276,7 +276,7 @@
   for (const auto& [nonce, expected] : records) {
     const auto* row = stored.read(codec::history_key(expected.at, nonce));
     ASSERT_TRUE(row);
-    const auto record = codec::parse_step_record(row->text);
+    const auto record = codec::parse_step_record(row->json_value);
     ASSERT_TRUE(record);
     EXPECT_EQ(fields(*record), fields(expected));
     EXPECT_EQ(row->nonce, nonce);
