--- a/tests/at_scale_test.cc
+++ b/tests/at_scale_test.cc
@@ -14,9 +14,9 @@
 // and nobody is forgotten.
 TEST(AtScale, OneControllerServesAllAndARackFails) {
   Options options;
-  options.machines = 120;
-  options.capacity = 40;
-  options.limits = true;
+  options.initial_machines = 120;
+  options.rentable_machines = 40;
+  options.enforce_limits = true;
   options.state_rps = 180;
   options.state_write_rps = 60;
   options.teams = {{"red", 320, 640, 0, 0}, {"blue", 320, 640, 0, 0}, {"gold", 320, 640, 0, 0}};
@@ -36,9 +36,9 @@
   });
   cluster.run_until(50);
   expect_no_lease_ends(cluster);
-  for (int i = 0; i < 40; ++i) cluster.kill_machine(machine(i));
+  for (int i = 0; i < 40; ++i) cluster.kill_machine(machine_id(i));
   cluster.run_until(150);
-  cluster.checker().faults_over(60);
+  cluster.checker().on_faults_ended(60);
   expect_rules_kept(cluster);
   for (const auto& id : ids) EXPECT_EQ(cluster.phase(id), "done") << id;
   expect_all_answered(cluster, ids);
@@ -55,8 +55,8 @@
 
 TEST_P(TokenBucket, UserRequestsTakePrecedenceOverProgress) {
   Options options;
-  options.machines = 90;
-  options.limits = true;
+  options.initial_machines = 90;
+  options.enforce_limits = true;
   options.state_write_rps = GetParam().changes_a_second;
   options.state_rps = 60;
   options.teams = {{"red", 160, 240, 0, 0}, {"blue", 160, 240, 0, 0}, {"gold", 160, 240, 0, 0}};
@@ -73,8 +73,8 @@
     }
   cluster.run_until(140);
   expect_rules_kept(cluster);
-  EXPECT_LT(cluster.slowest_acceptance(), GetParam().slowest_acceptance_s);
-  EXPECT_LT(cluster.refused_over_limit(), GetParam().refused);
+  EXPECT_LT(cluster.max_acceptance_s(), GetParam().slowest_acceptance_s);
+  EXPECT_LT(cluster.commits_rate_limited(), GetParam().refused);
   for (int i = 4; i <= n; i += 4) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done") << i;
 }
 
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -35,23 +35,25 @@
     const auto machines = cluster.machines_of("run-1");
     ASSERT_EQ(machines.size(), 24u);
     for (const auto& machine : machines) {
-      cluster.cut({address(machine)}, {SimulatedCluster::all()}, CutMode::reset);
-      tokens[machine] = cluster.token_of(machine);
+      cluster.partition_network({worker_address(machine)}, {SimulatedCluster::any_address()},
+                                NetworkPartitionMode::reset);
+      tokens[machine] = cluster.fencing_token_of(machine);
     }
   });
   cluster.at(kCancelled, [&] { cluster.cancel("run-1"); });
   cluster.at(kCancelled + 2, [&] {
-    ASSERT_GE(cluster.confirmed("run-1").node, 0);
+    ASSERT_GE(cluster.cancel_confirmation("run-1").node, 0);
     cluster.crash(cluster.leader_of(1), 60);
   });
-  cluster.at(kHealed, [&] { cluster.heal(); });
+  cluster.at(kHealed, [&] { cluster.heal_network(); });
   for (double time_s = kHealed; time_s < kHealed + 15; time_s += 0.05)
     cluster.at(time_s, [&] {
       for (auto& [machine, token] : tokens) {
-        if (cluster.token_of(machine) == token) continue;
-        token = cluster.token_of(machine);
+        if (cluster.fencing_token_of(machine) == token) continue;
+        token = cluster.fencing_token_of(machine);
         ++cut_off;
-        cluster.cut({address(machine)}, {SimulatedCluster::all()}, CutMode::reset);
+        cluster.partition_network({worker_address(machine)}, {SimulatedCluster::any_address()},
+                                  NetworkPartitionMode::reset);
       }
     });
   cluster.run_until(kCancelled + 60);
@@ -93,8 +95,8 @@
     SimulatedCluster cluster(options);
     cluster.at(5, [&cluster] { cluster.submit(cluster.service("run-1", "blue", 1, 1)); });
     cluster.at(19, [&cluster] {
-      cluster.state_slow(1.2);
-      cluster.cut({"n0"}, {"n1"}, CutMode::reset);
+      cluster.set_max_store_latency(1.2);
+      cluster.partition_network({"n0"}, {"n1"}, NetworkPartitionMode::reset);
     });
     cluster.at(22, [&cluster] { cluster.cancel("run-1"); });
     for (double time_s = 20; time_s < 30; time_s += 0.05)
@@ -120,7 +122,7 @@
                  [&cluster] { cluster.poll_once(0, "run-1", [](int, const std::string&) {}); });
     cluster.at(20.008 + 0.0005 * offset, [&cluster] { cluster.freeze(0, 2.5); });
     cluster.at(20.1, [&cluster] { cluster.cancel_at(2, "run-1"); });
-    cluster.at(22, [&] { met += cluster.confirmed("run-1").node >= 0; });
+    cluster.at(22, [&] { met += cluster.cancel_confirmation("run-1").node >= 0; });
     cluster.run_until(40);
     EXPECT_EQ(cluster.phase("run-1"), "cancelled");
     expect_rules_kept(cluster, std::to_string(offset));
@@ -132,8 +134,8 @@
 // for tasks that were asked to checkpoint, for longer than a cancellation may take.
 TEST(DelayedCommands, KillsOfACancelledJobArriveWithHeartbeatReplies) {
   Options options;
-  options.machines = 2;
-  options.capacity = 0;
+  options.initial_machines = 2;
+  options.rentable_machines = 0;
   options.nodes = 1;
   options.cancel_s = 15;
   SimulatedCluster cluster(options);
@@ -142,7 +144,7 @@
     array.checkpoint_s = 5;
     array.save_s = 40;
     cluster.submit(array);
-    cluster.late_commands({1, 60, 61});  // beyond what a cancellation may take
+    cluster.set_command_delays({1, 60, 61});  // beyond what a cancellation may take
   });
   cluster.at(12, [&cluster] {
     EXPECT_EQ(cluster.tasks_on("run-1"), 16u);
@@ -150,13 +152,13 @@
         cluster.service("run-800", "blue", 1, 8));  // some of the array have to make room
   });
   cluster.at(20, [&cluster] {
-    EXPECT_GE(cluster.lines(" saves run-1/"), 8u);
+    EXPECT_GE(cluster.count_trace_lines(" saves run-1/"), 8u);
     cluster.cancel("run-1");
   });
   cluster.run_until(60);
   EXPECT_EQ(cluster.phase("run-1"), "cancelled");
   EXPECT_EQ(cluster.tasks_on("run-800"), 1u);
-  EXPECT_GE(cluster.commands_late(), 1u);
+  EXPECT_GE(cluster.delayed_commands(), 1u);
   expect_rules_kept(cluster);
 }
 
--- a/tests/chain_cancellation_test.cc
+++ b/tests/chain_cancellation_test.cc
@@ -9,37 +9,39 @@
 
 namespace {
 
-class ChainCancellation : public Seeds {};
+class ChainCancellation : public SeededTest {};
 
 TEST_P(ChainCancellation, OfTheFirstJobCancelsAllDependents) {
-  SimulatedCluster cluster(seeded(GetParam()));
+  SimulatedCluster cluster(options_with_seed(GetParam()));
   std::map<std::string, int> repeated;
   cluster.at(5, [&] { submit_pipeline(cluster, 60); });
   cluster.at(20, [&] { cluster.cancel("run-1"); });
   for (double time_s : {20.0, 20.02, 20.1, 25.0})  // submitted during and after
     cluster.at(time_s, [&cluster, time_s] {
       const int n = 100 + static_cast<int>(time_s * 100) % 900;
-      cluster.submit_chained(needing(cluster.job(id(n), "blue", 1), {"run-3"}));
+      cluster.submit_after_prerequisites(
+          with_prerequisites(cluster.job(job_id(n), "blue", 1), {"run-3"}));
     });
   cluster.at(35, [&] {
     for (int node = 0; node < 3; ++node)
-      cluster.raw(node, "POST", "/v1/jobs",
-                  submission_text(needing(cluster.job("run-3", "gold", 4), {"run-2"})),
-                  [&](int status, std::string body) { repeated[body] += status == 200; });
+      cluster.send_request(
+          node, "POST", "/v1/jobs",
+          submission_text(with_prerequisites(cluster.job("run-3", "gold", 4), {"run-2"})),
+          [&](int status, std::string body) { repeated[body] += status == 200; });
   });
   cluster.run_until(60);
-  expect_phase(
-      cluster,
-      {"run-1", "run-2", "run-3", id(100 + 200), id(100 + 202), id(100 + 210), id(100 + 700)},
-      "cancelled");
+  expect_phase(cluster,
+               {"run-1", "run-2", "run-3", job_id(100 + 200), job_id(100 + 202), job_id(100 + 210),
+                job_id(100 + 700)},
+               "cancelled");
   EXPECT_EQ(repeated[codec::job_status("run-3", {JobPhase::cancelled, 0, 0})], 3);
-  EXPECT_EQ(cluster.keys_under("e/job/"), 0u);  // each has a final record of its own
-  EXPECT_EQ(cluster.keys_under("e/final/"), 7u);
+  EXPECT_EQ(cluster.count_keys("e/job/"), 0u);  // each has a final record of its own
+  EXPECT_EQ(cluster.count_keys("e/final/"), 7u);
   expect_rules_kept(cluster);
 }
 
 TEST_P(ChainCancellation, OfAMiddleJobLeavesItsPrerequisites) {
-  SimulatedCluster cluster(seeded(GetParam()));
+  SimulatedCluster cluster(options_with_seed(GetParam()));
   cluster.at(5, [&] { submit_pipeline(cluster, 10); });
   cluster.at(9, [&] { cluster.cancel("run-2"); });
   cluster.run_until(60);
@@ -49,7 +51,7 @@
 }
 
 TEST_P(ChainCancellation, OfTheLastJobCancelsNothingElse) {
-  SimulatedCluster cluster(seeded(GetParam()));
+  SimulatedCluster cluster(options_with_seed(GetParam()));
   cluster.at(5, [&] { submit_pipeline(cluster, 5); });
   cluster.at(9, [&] { cluster.cancel("run-3"); });
   cluster.run_until(60);
@@ -62,7 +64,8 @@
 TEST_P(ChainCancellation, RacingWithCompletionHasOneOutcomeForTheChain) {
   std::size_t done = 0, cancelled = 0;
   for (int offset = 0; offset < 24; ++offset) {
-    SimulatedCluster cluster(seeded(GetParam() * 100 + static_cast<std::uint64_t>(offset)));
+    SimulatedCluster cluster(
+        options_with_seed(GetParam() * 100 + static_cast<std::uint64_t>(offset)));
     cluster.at(5, [&] { submit_pipeline(cluster, 5); });
     cluster.at(9.8 + 0.08 * offset, [&] { cluster.cancel("run-1"); });
     cluster.run_until(50);
@@ -79,7 +82,7 @@
 // store for longer than a cancellation may take. Leaders that act under votes learn of the end with
 // them.
 TEST_P(ChainCancellation, ReachesLeadersOfDependentsBeforeAnImmediateOutage) {
-  Options options = seeded(GetParam());
+  Options options = options_with_seed(GetParam());
   options.cancel_s = 15;
   SimulatedCluster cluster(options);
   std::array<std::string, 3> told;
@@ -88,14 +91,15 @@
   auto check = std::make_shared<std::function<void()>>();
   double outage_at = -1;
   *check = [&cluster, &outage_at, &told, check] {
-    if (cluster.confirmed("run-1").node < 0) return cluster.at(cluster.now() + 0.002, *check);
+    if (cluster.cancel_confirmation("run-1").node < 0)
+      return cluster.at(cluster.now() + 0.002, *check);
     outage_at = cluster.now();
-    cluster.state_outage(true);
+    cluster.set_store_outage(true);
     cluster.at(cluster.now() + 12, [&cluster, &told] {
       for (int node = 0; node < 3; ++node)
-        poll_into(cluster, node, "run-3", told[static_cast<std::size_t>(node)]);
+        poll_phase(cluster, node, "run-3", told[static_cast<std::size_t>(node)]);
     });
-    cluster.at(cluster.now() + 30, [&cluster] { cluster.state_outage(false); });
+    cluster.at(cluster.now() + 30, [&cluster] { cluster.set_store_outage(false); });
   };
   cluster.at(20.001, [check] { (*check)(); });
   cluster.run_until(100);
@@ -109,20 +113,20 @@
 // As before, and the leader of the dependents is cut off alone first: no controller answers for it
 // until the state store is back.
 TEST_P(ChainCancellation, SurvivesAnIsolatedLeaderOfDependentsAndAnOutage) {
-  Options options = seeded(GetParam());
+  Options options = options_with_seed(GetParam());
   options.cancel_s = 15;
   SimulatedCluster cluster(options);
   int refused = -1;
   cluster.at(5, [&] { submit_pipeline(cluster, 300); });
   cluster.at(19, [&] {
     refused = cluster.leader_of(2);
-    cluster.state_refuses(refused, true);
+    cluster.set_store_unavailable_to(refused, true);
   });
   cluster.at(20, [&] { cluster.cancel("run-1"); });
-  cluster.at(21, [&] { cluster.state_outage(true); });
+  cluster.at(21, [&] { cluster.set_store_outage(true); });
   cluster.at(45, [&] {
-    cluster.state_refuses(refused, false);
-    cluster.state_outage(false);
+    cluster.set_store_unavailable_to(refused, false);
+    cluster.set_store_outage(false);
   });
   for (double time_s = 20; time_s < 80; time_s += 0.5)
     cluster.at(time_s, [&cluster] {
@@ -130,7 +134,7 @@
         cluster.poll_once(node, "run-3", [](int, std::string) {});
     });
   cluster.run_until(110);
-  EXPECT_GE(cluster.confirmed("run-1").at, 20);
+  EXPECT_GE(cluster.cancel_confirmation("run-1").confirmed_at_s, 20);
   expect_phase(cluster, {"run-1", "run-2", "run-3"}, "cancelled");
   expect_rules_kept(cluster);
 }
@@ -138,15 +142,15 @@
 // The commit of a cancellation is held up while the job waits, and the last job that it needs ends
 // meanwhile: it is ready, and cancelled all the same.
 TEST_P(ChainCancellation, WithUnknownCommitOutcomeStartsNothingWhenTheJobIsReady) {
-  SimulatedCluster cluster(seeded(GetParam()));
+  SimulatedCluster cluster(options_with_seed(GetParam()));
   cluster.at(5, [&] { submit_pipeline(cluster, 9); });
-  cluster.at(13.9, [&] { cluster.late_writes({1, 3, 3}); });
+  cluster.at(13.9, [&] { cluster.set_commit_delays({1, 3, 3}); });
   cluster.at(14, [&] { cluster.cancel_at(cluster.leader_of(1), "run-2"); });
-  cluster.at(14.2, [&] { cluster.late_writes({}); });
+  cluster.at(14.2, [&] { cluster.set_commit_delays({}); });
   cluster.run_until(60);
-  EXPECT_GE(cluster.without_answer(), 1u);
-  EXPECT_EQ(cluster.lines("job ready job=run-2"), 1u);  // it met
-  EXPECT_EQ(cluster.lines(" runs run-2/"), 0u);
+  EXPECT_GE(cluster.commits_without_reply(), 1u);
+  EXPECT_EQ(cluster.count_trace_lines("job ready job=run-2"), 1u);  // it met
+  EXPECT_EQ(cluster.count_trace_lines(" runs run-2/"), 0u);
   expect_phase(cluster, {"run-1"}, "done");
   expect_phase(cluster, {"run-2", "run-3"}, "cancelled");
   expect_rules_kept(cluster);
@@ -155,11 +159,13 @@
 // The leader of a dependent can't be reached by the node that is asked, and lags behind it: only a
 // final record, or its leader, says that the dependent is cancelled.
 TEST_P(ChainCancellation, IsNotConfirmedForADependentWhoseLeaderIsUnreachable) {
-  SimulatedCluster cluster(seeded(GetParam()));
+  SimulatedCluster cluster(options_with_seed(GetParam()));
   std::map<std::string, int> told;
   cluster.at(5, [&] { submit_pipeline(cluster, 300); });
-  cluster.at(18, [&] { cluster.cut({"n0"}, {"n2"}, CutMode::reset); });  // the leader of run-3
-  cluster.at(19.8, [&] { cluster.state_refuses(2, true); });             // for less than its lease
+  cluster.at(18, [&] {
+    cluster.partition_network({"n0"}, {"n2"}, NetworkPartitionMode::reset);
+  });                                                                    // the leader of run-3
+  cluster.at(19.8, [&] { cluster.set_store_unavailable_to(2, true); });  // for less than its lease
   cluster.at(20, [&] { cluster.cancel_at(0, "run-1"); });
   for (double time_s = 19; time_s < 40; time_s += 0.02)
     cluster.at(time_s, [&] {
@@ -168,8 +174,8 @@
           ++told[status == 200 ? phase : std::to_string(status)];
         });
     });
-  cluster.at(23, [&] { cluster.state_refuses(2, false); });
-  cluster.at(45, [&] { cluster.heal(); });
+  cluster.at(23, [&] { cluster.set_store_unavailable_to(2, false); });
+  cluster.at(45, [&] { cluster.heal_network(); });
   cluster.run_until(70);
   EXPECT_GT(told["queued"], 20);
   EXPECT_GT(told["cancelled"], 20);
--- a/tests/chain_completion_test.cc
+++ b/tests/chain_completion_test.cc
@@ -31,7 +31,7 @@
   const auto [fault, seed] = GetParam();
   std::size_t met = 0;
   for (int offset = 0; offset < 6; ++offset) {
-    SimulatedCluster cluster(seeded(seed * 10 + static_cast<std::uint64_t>(offset)));
+    SimulatedCluster cluster(options_with_seed(seed * 10 + static_cast<std::uint64_t>(offset)));
     double ended = -1;
     const double at = 9.6 + 0.25 * offset;
     if (fault == Fault::failback)  // given back to its preferred leader about when run-1 ends
@@ -43,12 +43,13 @@
         cluster.crash(std::max(leader, 0), 4);
       if (fault == Fault::all_crash)
         for (int n = 0; n < 3; ++n) cluster.crash(n, 1 + n);
-      if (fault == Fault::outage) cluster.state_outage(true);
+      if (fault == Fault::outage) cluster.set_store_outage(true);
     });
-    if (fault == Fault::outage) cluster.at(at + 12, [&cluster] { cluster.state_outage(false); });
+    if (fault == Fault::outage)
+      cluster.at(at + 12, [&cluster] { cluster.set_store_outage(false); });
     for (double time_s = 9; time_s < 40; time_s += 0.05)
       cluster.at(time_s, [&] {
-        if (ended < 0 && cluster.checker().ready("run-2")) ended = cluster.now();
+        if (ended < 0 && cluster.checker().prerequisites_done("run-2")) ended = cluster.now();
       });
     cluster.run_until(100);
     met += ended > 0 && std::abs(ended - at) < 1.5;
--- a/tests/chains_test.cc
+++ b/tests/chains_test.cc
@@ -21,11 +21,11 @@
 }
 
 TEST(Chain, StepsOfThreeTeamsRunInOrder) {
-  SimulatedCluster cluster(seeded(1));
+  SimulatedCluster cluster(options_with_seed(1));
   std::string waiting;
   cluster.at(5, [&] { submit_pipeline(cluster, 5); });
   cluster.at(9, [&] {
-    poll_into(cluster, 1, "run-3", waiting);
+    poll_phase(cluster, 1, "run-3", waiting);
     EXPECT_EQ(open_in_partitions(cluster), 1u);  // what waits takes part in nothing
     EXPECT_NE(
         status_json(*cluster.node(0)).find(R"("job":"run-3","prerequisites":1,"first":["run-2"])"),
@@ -33,19 +33,19 @@
   });
   cluster.run_until(60);
   EXPECT_EQ(waiting, "queued");
-  EXPECT_EQ(cluster.lines("job ready job=run-2"), 1u);
+  EXPECT_EQ(cluster.count_trace_lines("job ready job=run-2"), 1u);
   expect_phase(cluster, {"run-1", "run-2", "run-3"}, "done");
   expect_rules_kept(cluster);
 }
 
 TEST(Chain, InvalidOrUnknownPrerequisiteIsRejected) {
-  SimulatedCluster cluster(seeded(1));
+  SimulatedCluster cluster(options_with_seed(1));
   std::map<std::string, int> answers;
   auto submit = [&](const std::string& awaits, const std::string& job = "run-50") {
     std::string text = submission_text(cluster.job(job, "red", 1));
     text.insert(text.size() - 1, ",\"awaits\":" + awaits);
-    cluster.raw(1, "POST", "/v1/jobs", text,
-                [&, awaits](int status, std::string) { answers[awaits] = status; });
+    cluster.send_request(1, "POST", "/v1/jobs", text,
+                         [&, awaits](int status, std::string) { answers[awaits] = status; });
   };
   cluster.at(5, [&] { cluster.submit(cluster.job("run-1", "blue", 1, 1, 100)); });
   cluster.at(8, [&] {
@@ -74,17 +74,18 @@
 }
 
 TEST(Chain, PrerequisiteOfUnknownStatusIsRejectedImmediatelyDuringAnOutage) {
-  SimulatedCluster cluster(seeded(1));
+  SimulatedCluster cluster(options_with_seed(1));
   int status = 0;
   double answered = 0;
-  cluster.at(20, [&] { cluster.state_outage(true); });
+  cluster.at(20, [&] { cluster.set_store_outage(true); });
   cluster.at(22, [&] {
-    cluster.raw(0, "POST", "/v1/jobs",
-                submission_text(needing(cluster.job("run-2", "red", 1), {"run-1"})),
-                [&](int code, std::string) {
-                  status = code;
-                  answered = cluster.now();
-                });
+    cluster.send_request(
+        0, "POST", "/v1/jobs",
+        submission_text(with_prerequisites(cluster.job("run-2", "red", 1), {"run-1"})),
+        [&](int code, std::string) {
+          status = code;
+          answered = cluster.now();
+        });
   });
   cluster.run_until(30);
   EXPECT_EQ(status, 503);
@@ -93,14 +94,14 @@
 
 // Users set priority and deadline on the last job: what it needs goes before what nobody needs.
 TEST(Chain, PrerequisitesInheritTheUrgencyOfTheirDependents) {
-  Options options = seeded(1);
-  options.machines = 2;
-  options.capacity = 0;
+  Options options = options_with_seed(1);
+  options.initial_machines = 2;
+  options.rentable_machines = 0;
   SimulatedCluster cluster(options);
   cluster.at(5, [&] { cluster.submit(cluster.job("run-9", "red", 16, 1, 12)); });
   cluster.at(6, [&] {
     for (int n : {1, 2}) {
-      JobSpec first = cluster.job(id(n), "red", 16, 1, 10);
+      JobSpec first = cluster.job(job_id(n), "red", 16, 1, 10);
       first.priority = Priority::best_effort;
       cluster.submit(first);
     }
@@ -108,7 +109,7 @@
   cluster.at(8, [&] {
     JobSpec last = cluster.job("run-3", "red", 1, 1, 5);
     last.priority = Priority::high;
-    cluster.submit_chained(needing(last, {"run-2"}));
+    cluster.submit_after_prerequisites(with_prerequisites(last, {"run-2"}));
   });
   cluster.run_until(29);
   expect_phase(cluster, {"run-2", "run-3"}, "done");
@@ -116,20 +117,21 @@
   expect_rules_kept(cluster);
 }
 
-class ChainSubmission : public Seeds {};
+class ChainSubmission : public SeededTest {};
 
 // Each job right after the acceptance of the one before, through another node, whose view lags.
 TEST_P(ChainSubmission, ThroughControllersWithStaleViews) {
-  SimulatedCluster cluster(seeded(GetParam()));
+  SimulatedCluster cluster(options_with_seed(GetParam()));
   std::array<int, 6> status{};
   std::function<void(int)> submit = [&](int n) {
-    JobSpec job = cluster.job(id(n), n % 2 ? "red" : "blue", 1, 1, 2);
-    if (n > 1) job.prerequisites = {id(n - 1)};
+    JobSpec job = cluster.job(job_id(n), n % 2 ? "red" : "blue", 1, 1, 2);
+    if (n > 1) job.prerequisites = {job_id(n - 1)};
     cluster.submit(job);
-    cluster.raw(n % 3, "POST", "/v1/jobs", submission_text(job), [&, n](int code, std::string) {
-      status[static_cast<std::size_t>(n)] = code;
-      if (n < 5) submit(n + 1);
-    });
+    cluster.send_request(n % 3, "POST", "/v1/jobs", submission_text(job),
+                         [&, n](int code, std::string) {
+                           status[static_cast<std::size_t>(n)] = code;
+                           if (n < 5) submit(n + 1);
+                         });
   };
   cluster.at(5, [&] { submit(1); });
   cluster.run_until(50);
@@ -137,14 +139,14 @@
     EXPECT_TRUE(status[static_cast<std::size_t>(n)] == 201 ||
                 status[static_cast<std::size_t>(n)] == 200)
         << n << ": " << status[static_cast<std::size_t>(n)];
-    EXPECT_EQ(cluster.phase(id(n)), "done");
+    EXPECT_EQ(cluster.phase(job_id(n)), "done");
   }
   expect_rules_kept(cluster);
 }
 
 // The last job is submitted when all others are over long since, and no node has read their ends.
 TEST_P(ChainSubmission, AfterAFullRestartWhenPrerequisitesHaveEnded) {
-  SimulatedCluster cluster(seeded(GetParam()));
+  SimulatedCluster cluster(options_with_seed(GetParam()));
   int status = 0, unknown = 0;
   cluster.at(5, [&] {
     cluster.submit(cluster.job("run-1", "red", 2, 1, 3));
@@ -155,14 +157,16 @@
     for (int n = 0; n < 3; ++n) cluster.crash(n, 2);
   });
   cluster.at(33, [&] {
-    cluster.submit(needing(cluster.job("run-3", "gold", 2, 1, 3), {"run-1"}));
-    cluster.submit(needing(cluster.job("run-4", "gold", 2, 1, 3), {"run-1", "run-2"}));
-    cluster.raw(1, "POST", "/v1/jobs",
-                submission_text(needing(cluster.job("run-5", "gold", 1), {"run-1", "run-77"})),
-                [&](int code, std::string) { unknown = code; });
+    cluster.submit(with_prerequisites(cluster.job("run-3", "gold", 2, 1, 3), {"run-1"}));
+    cluster.submit(with_prerequisites(cluster.job("run-4", "gold", 2, 1, 3), {"run-1", "run-2"}));
+    cluster.send_request(
+        1, "POST", "/v1/jobs",
+        submission_text(with_prerequisites(cluster.job("run-5", "gold", 1), {"run-1", "run-77"})),
+        [&](int code, std::string) { unknown = code; });
   });
   cluster.at(36, [&] {
-    cluster.raw(2, "GET", "/v1/jobs/run-4", "", [&](int code, std::string) { status = code; });
+    cluster.send_request(2, "GET", "/v1/jobs/run-4", "",
+                         [&](int code, std::string) { status = code; });
   });
   cluster.run_until(70);
   EXPECT_TRUE(unknown == 422 || unknown == 503) << unknown;
@@ -174,17 +178,19 @@
 
 // A controller that the state store refuses alone can't say whether a job was ever accepted.
 TEST_P(ChainSubmission, ThroughAControllerTheStateStoreRejects) {
-  SimulatedCluster cluster(seeded(GetParam()));
+  SimulatedCluster cluster(options_with_seed(GetParam()));
   int status = 0;
-  cluster.at(20, [&] { cluster.state_refuses(1, true); });
+  cluster.at(20, [&] { cluster.set_store_unavailable_to(1, true); });
   cluster.at(21, [&] { cluster.submit(cluster.job("run-1", "red", 1, 1, 5)); });
   cluster.at(24, [&] {
-    cluster.raw(1, "POST", "/v1/jobs",
-                submission_text(needing(cluster.job("run-2", "red", 1), {"run-1"})),
-                [&](int code, std::string) { status = code; });
+    cluster.send_request(
+        1, "POST", "/v1/jobs",
+        submission_text(with_prerequisites(cluster.job("run-2", "red", 1), {"run-1"})),
+        [&](int code, std::string) { status = code; });
   });
-  cluster.at(30, [&] { cluster.state_refuses(1, false); });
-  cluster.at(40, [&] { cluster.submit(needing(cluster.job("run-2", "red", 1), {"run-1"})); });
+  cluster.at(30, [&] { cluster.set_store_unavailable_to(1, false); });
+  cluster.at(
+      40, [&] { cluster.submit(with_prerequisites(cluster.job("run-2", "red", 1), {"run-1"})); });
   cluster.run_until(70);
   EXPECT_EQ(status, 503);
   expect_phase(cluster, {"run-1", "run-2"}, "done");
@@ -193,17 +199,18 @@
 
 // Half done when all controllers end.
 TEST_P(ChainSubmission, BeforeAFullRestart) {
-  SimulatedCluster cluster(seeded(GetParam()));
+  SimulatedCluster cluster(options_with_seed(GetParam()));
   cluster.at(5, [&] {
     submit_pipeline(cluster, 6);
-    cluster.submit_chained(needing(cluster.job("run-4", "red", 2, 1, 3), {"run-1", "run-3"}));
+    cluster.submit_after_prerequisites(
+        with_prerequisites(cluster.job("run-4", "red", 2, 1, 3), {"run-1", "run-3"}));
   });
   for (double time_s : {12.5, 30.0})
     cluster.at(time_s, [&] {
       for (int n = 0; n < 3; ++n) cluster.crash(n, 1 + n);
     });
   cluster.run_until(120);
-  EXPECT_GE(cluster.lines("crashes"), 6u);
+  EXPECT_GE(cluster.count_trace_lines("crashes"), 6u);
   expect_phase(cluster, {"run-1", "run-2", "run-3", "run-4"}, "done");
   expect_rules_kept(cluster);
 }
--- a/tests/concurrent_faults_test.cc
+++ b/tests/concurrent_faults_test.cc
@@ -41,7 +41,7 @@
 
 std::set<std::string> workers(int first, int step, int most = 40) {
   std::set<std::string> out;
-  for (int i = first; i < most; i += step) out.insert(address(machine(i)));
+  for (int i = first; i < most; i += step) out.insert(worker_address(machine_id(i)));
   return out;
 }
 
@@ -59,11 +59,11 @@
          });
          load.end = {"run-1", "run-2"};
          cluster.at(10, [&cluster] {
-           for (int i = 0; i < 6; i += 2) cluster.kill_machine(machine(i));
+           for (int i = 0; i < 6; i += 2) cluster.kill_machine(machine_id(i));
          });
          cluster.at(11.9, [&cluster] { EXPECT_EQ(cluster.tasks_on("run-1"), 0u); });
        },
-       [](SimulatedCluster& cluster) { EXPECT_EQ(cluster.lines("is dead"), 3u); }},
+       [](SimulatedCluster& cluster) { EXPECT_EQ(cluster.count_trace_lines("is dead"), 3u); }},
       {"JobsOfOneZoneLoseItsMachinesWhileOthersStayIdle", 12,
        [](SimulatedCluster& cluster, Load& load) {
          load.end = {"run-1", "run-2", "run-3"};
@@ -77,12 +77,12 @@
            }
          });
          cluster.at(10, [&cluster] {
-           for (int i = 0; i < 6; i += 2) cluster.kill_machine(machine(i));
+           for (int i = 0; i < 6; i += 2) cluster.kill_machine(machine_id(i));
          });
        },
        [](SimulatedCluster& cluster) {
-         EXPECT_EQ(cluster.lines("is dead"), 3u);
-         EXPECT_EQ(cluster.lines("machine terminated machine=m-000001"), 0u);
+         EXPECT_EQ(cluster.count_trace_lines("is dead"), 3u);
+         EXPECT_EQ(cluster.count_trace_lines("machine terminated machine=m-000001"), 0u);
        }},
       {"AllControllersAreDownBeyondALease", 31,
        [](SimulatedCluster& cluster, Load& load) {
@@ -91,7 +91,9 @@
            for (int i = 0; i < 3; ++i) cluster.crash(i, 15 + i);
          });
        },
-       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.lines("lease expired"), 3u); }},
+       [](SimulatedCluster& cluster) {
+         EXPECT_GE(cluster.count_trace_lines("lease expired"), 3u);
+       }},
       {"TenFailoversInTwoMinutesAndAnOutage", 135,
        [](SimulatedCluster& cluster, Load& load) {
          usual(cluster, load);
@@ -100,30 +102,30 @@
              if (const int leader = cluster.leader_of(0); leader >= 0)
                cluster.crash(leader, i % 3 ? 4 : 0.3);
            });
-         cluster.at(60, [&cluster] { cluster.state_outage(true); });
-         cluster.at(75, [&cluster] { cluster.state_outage(false); });
+         cluster.at(60, [&cluster] { cluster.set_store_outage(true); });
+         cluster.at(75, [&cluster] { cluster.set_store_outage(false); });
        },
        [](SimulatedCluster& cluster) {
-         EXPECT_GE(cluster.lines("partition claimed partition=0"), 10u);
-         EXPECT_GE(cluster.lines("crashes"), 10u);
+         EXPECT_GE(cluster.count_trace_lines("partition claimed partition=0"), 10u);
+         EXPECT_GE(cluster.count_trace_lines("crashes"), 10u);
        }},
       {"HeartbeatsOfEarlierIncarnationsArriveLate", 60,
        [](SimulatedCluster& cluster, Load& load) {
          usual(cluster, load);
-         cluster.duplicate_heartbeats(true);
+         cluster.set_duplicate_heartbeats(true);
          cluster.at(10, [&cluster] {
-           for (int i = 0; i < 3; ++i) cluster.freeze_machine(machine(i), true);
+           for (int i = 0; i < 3; ++i) cluster.freeze_machine(machine_id(i), true);
          });
          cluster.at(23, [&cluster] {
-           for (int i = 0; i < 3; ++i) cluster.freeze_machine(machine(i), false);
+           for (int i = 0; i < 3; ++i) cluster.freeze_machine(machine_id(i), false);
          });
          cluster.at(26, [&cluster] { cluster.crash(1); });
          cluster.at(45, [&cluster] { cluster.crash(0, 0.2); });
-         cluster.at(60, [&cluster] { cluster.duplicate_heartbeats(false); });
+         cluster.at(60, [&cluster] { cluster.set_duplicate_heartbeats(false); });
        },
        [](SimulatedCluster& cluster) {
-         EXPECT_GT(cluster.copies(), 200u);
-         EXPECT_GE(cluster.incarnation_of(machine(0)), 2u);
+         EXPECT_GT(cluster.duplicate_heartbeats_sent(), 200u);
+         EXPECT_GE(cluster.incarnation_of(machine_id(0)), 2u);
        }},
       {"FailoverAndFailbackThenAllCrashAndOneRestarts", 50,
        [](SimulatedCluster& cluster, Load& load) {
@@ -131,17 +133,21 @@
          cluster.at(10, [&cluster] { cluster.crash(1, 6); });
          for (double time_s = 16; time_s < 30; time_s += 0.05)
            cluster.at(time_s, [&cluster] {
-             if (cluster.lines("world all end") || cluster.lines("reason=failback") < 3) return;
-             cluster.note("world all end");
+             if (cluster.count_trace_lines("world all end") ||
+                 cluster.count_trace_lines("reason=failback") < 3)
+               return;
+             cluster.append_trace("world all end");
              for (int i : {1, 2}) cluster.crash(i, 20);
              cluster.crash(0, 0.4);
            });
        },
-       [](SimulatedCluster& cluster) { EXPECT_EQ(cluster.lines("world all end"), 1u); }},
+       [](SimulatedCluster& cluster) {
+         EXPECT_EQ(cluster.count_trace_lines("world all end"), 1u);
+       }},
       {"SlowStateStoreWhileUsersCancelAndPoll", 50,
        [](SimulatedCluster& cluster, Load& load) {
          usual(cluster, load);
-         cluster.at(10, [&cluster] { cluster.state_slow(2.2); });
+         cluster.at(10, [&cluster] { cluster.set_max_store_latency(2.2); });
          for (double time_s = 10; time_s < 40; time_s += 3)
            cluster.at(time_s, [&cluster, time_s] {
              const std::string id = "run-" + std::to_string(static_cast<int>(time_s));
@@ -150,9 +156,11 @@
            });
          for (int time_s = 10; time_s < 40; time_s += 3)
            load.off.push_back("run-" + std::to_string(time_s));
-         cluster.at(50, [&cluster] { cluster.state_slow(0); });
+         cluster.at(50, [&cluster] { cluster.set_max_store_latency(0); });
        },
-       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.lines("cancel says cancelled"), 10u); }},
+       [](SimulatedCluster& cluster) {
+         EXPECT_GE(cluster.count_trace_lines("cancel says cancelled"), 10u);
+       }},
       {"CancelledAsTheLeaderIsRejectedThenOutage", 90,
        [](SimulatedCluster& cluster, Load& load) {
          usual(cluster, load);
@@ -163,29 +171,31 @@
          });
          cluster.at(30, [&cluster] {
            cluster.cancel("run-1");
-           cluster.state_refuses(1, true);
+           cluster.set_store_unavailable_to(1, true);
            cluster.cancel("run-2");
          });
-         cluster.at(31, [&cluster] { cluster.state_outage(true); });
+         cluster.at(31, [&cluster] { cluster.set_store_outage(true); });
          cluster.at(84, [&cluster] {
-           cluster.state_outage(false);
-           cluster.state_refuses(1, false);
+           cluster.set_store_outage(false);
+           cluster.set_store_unavailable_to(1, false);
          });
        },
-       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.confirmed("run-2").node, 0); }},
+       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.cancel_confirmation("run-2").node, 0); }},
       {"HeartbeatsAreHeldUntilTheirReceiverLeads", 40,
        [](SimulatedCluster& cluster, Load& load) {
          usual(cluster, load);
          // The workers of n1's partition cannot get through to n0, which will lead them.
-         cluster.at(9.6, [&cluster] { cluster.cut(workers(0, 1), {"n0"}, CutMode::hold); });
+         cluster.at(9.6, [&cluster] {
+           cluster.partition_network(workers(0, 1), {"n0"}, NetworkPartitionMode::hold);
+         });
          cluster.at(10, [&cluster] { cluster.crash(1, 25); });
          cluster.at(19, [&cluster] {
-           EXPECT_GE(cluster.held(), 6u);
+           EXPECT_GE(cluster.held_messages(), 6u);
            EXPECT_NE(cluster.leader_of(1), 1);
-           cluster.heal();
+           cluster.heal_network();
          });
        },
-       [](SimulatedCluster& cluster) { EXPECT_EQ(cluster.lines("world healed"), 1u); }},
+       [](SimulatedCluster& cluster) { EXPECT_EQ(cluster.count_trace_lines("world healed"), 1u); }},
       {"ZoneWithAControllerIsPartitioned", 26,
        [](SimulatedCluster& cluster, Load& load) {
          usual(cluster, load);
@@ -193,14 +203,16 @@
            std::set<std::string> zone = workers(1, 2), rest = workers(0, 2);
            zone.insert("n1");
            rest.insert({"n0", "n2", "state", "cloud", "user"});
-           cluster.cut(zone, rest, CutMode::hold);
+           cluster.partition_network(zone, rest, NetworkPartitionMode::hold);
          });
          cluster.at(14, [&cluster] { cluster.cancel("run-106"); });
          load.off.push_back("run-106");
          load.end.erase(std::find(load.end.begin(), load.end.end(), "run-106"));
-         cluster.at(26, [&cluster] { cluster.heal(); });
+         cluster.at(26, [&cluster] { cluster.heal_network(); });
        },
-       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.lines("lease expired"), 1u); }},
+       [](SimulatedCluster& cluster) {
+         EXPECT_GE(cluster.count_trace_lines("lease expired"), 1u);
+       }},
       {"TasksOfAJobEndUnderDifferentLeaders", 60,
        [](SimulatedCluster& cluster, Load& load) {
          cluster.at(5, [&cluster] {
@@ -223,27 +235,28 @@
        [](SimulatedCluster& cluster, Load& load) {
          usual(cluster, load);
          cluster.at(12, [&cluster] {
-           cluster.cut(workers(0, 2, 6), {SimulatedCluster::all()}, CutMode::hold);
+           cluster.partition_network(workers(0, 2, 6), {SimulatedCluster::any_address()},
+                                     NetworkPartitionMode::hold);
          });
          cluster.at(12.4, [&cluster] { cluster.crash(1, 12); });
-         cluster.at(20.4, [&cluster] { cluster.heal(); });  // within their lease
+         cluster.at(20.4, [&cluster] { cluster.heal_network(); });  // within their lease
        },
        [](SimulatedCluster& cluster) {
-         EXPECT_GE(cluster.lines("partition claimed partition=1"), 2u);
-         EXPECT_EQ(cluster.lines("world healed"), 1u);
+         EXPECT_GE(cluster.count_trace_lines("partition claimed partition=1"), 2u);
+         EXPECT_EQ(cluster.count_trace_lines("world healed"), 1u);
        }},
       {"LeaderCrashesAndMachinesDoNotReceiveFromTheNext", 45,
        [](SimulatedCluster& cluster, Load& load) {
          usual(cluster, load);
          cluster.at(12, [&cluster] { cluster.crash(1, 20); });
          cluster.at(12.5, [&cluster] {
-           for (int i = 0; i < 4; ++i) cluster.deafen(machine(i), true);
+           for (int i = 0; i < 4; ++i) cluster.block_inbound(machine_id(i), true);
          });
          cluster.at(34, [&cluster] {
-           for (int i = 0; i < 4; ++i) cluster.deafen(machine(i), false);
+           for (int i = 0; i < 4; ++i) cluster.block_inbound(machine_id(i), false);
          });
        },
-       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.incarnation_of(machine(0)), 2u); }},
+       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.incarnation_of(machine_id(0)), 2u); }},
       {"DelayedCommandsReachAResumedMachine", 40,
        [](SimulatedCluster& cluster, Load& load) {
          usual(cluster, load);
@@ -255,29 +268,29 @@
            cluster.cancel("run-1");
          });
          cluster.at(22, [&cluster] {
-           ASSERT_EQ(cluster.confirmed("run-1").node >= 0, true);
+           ASSERT_EQ(cluster.cancel_confirmation("run-1").node >= 0, true);
            ASSERT_EQ(cluster.tasks_on("run-1"), 6u);  // they hang, with their tasks
-           for (int i = 0; i < 6; ++i) cluster.freeze_machine(machine(i), false);
+           for (int i = 0; i < 6; ++i) cluster.freeze_machine(machine_id(i), false);
          });
          cluster.at(24, [&cluster] { EXPECT_EQ(cluster.tasks_on("run-1"), 0u); });
        },
-       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.lines("goes on"), 1u); }},
+       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.count_trace_lines("goes on"), 1u); }},
       {"MachinesReachNoControllerButReceiveCommands", 45,
        [](SimulatedCluster& cluster, Load& load) {
          usual(cluster, load);
          load.off = {"run-1"};
          cluster.at(6, [&cluster] { cluster.submit(cluster.job("run-1", "blue", 6, 1, 400)); });
          cluster.at(15, [&cluster] {
-           for (int i = 0; i < 6; ++i) cluster.mute(machine(i), true);
+           for (int i = 0; i < 6; ++i) cluster.block_outbound_requests(machine_id(i), true);
          });
          cluster.at(16, [&cluster] { cluster.cancel("run-1"); });
          // Long before a lease ends: commands reach them.
          cluster.at(18, [&cluster] { EXPECT_EQ(cluster.tasks_on("run-1"), 0u); });
          cluster.at(35, [&cluster] {
-           for (int i = 0; i < 6; ++i) cluster.mute(machine(i), false);
+           for (int i = 0; i < 6; ++i) cluster.block_outbound_requests(machine_id(i), false);
          });
        },
-       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.incarnation_of(machine(0)), 2u); }},
+       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.incarnation_of(machine_id(0)), 2u); }},
       {"TeamAtItsQuotaFailsOverWithUnreachableMachines", 45,
        [](SimulatedCluster& cluster, Load& load) {
          load.off = {"run-1"};
@@ -290,20 +303,21 @@
          cluster.at(28, [&cluster] {
            ASSERT_EQ(cluster.tasks_on("run-1"), 24u);
            // The odd ones are silent for a while, within their lease.
-           cluster.cut(workers(1, 2), {SimulatedCluster::all()}, CutMode::hold);
+           cluster.partition_network(workers(1, 2), {SimulatedCluster::any_address()},
+                                     NetworkPartitionMode::hold);
          });
          cluster.at(28.3, [&cluster] { cluster.crash(1, 30); });
          cluster.at(29, [&cluster] { cluster.cancel("run-1"); });
-         cluster.at(36.5, [&cluster] { cluster.heal(); });
+         cluster.at(36.5, [&cluster] { cluster.heal_network(); });
        },
        [](SimulatedCluster& cluster) {
-         EXPECT_GE(cluster.confirmed("run-1").node, 0);
-         EXPECT_GE(cluster.lines("partition claimed partition=1"), 2u);
+         EXPECT_GE(cluster.cancel_confirmation("run-1").node, 0);
+         EXPECT_GE(cluster.count_trace_lines("partition claimed partition=1"), 2u);
        }},
       {"TransactionsLandAfterNewerOnes", 90,
        [](SimulatedCluster& cluster, Load& load) {
          usual(cluster, load);
-         cluster.at(6, [&cluster] { cluster.late_writes({0.45, 0.5, 12}); });
+         cluster.at(6, [&cluster] { cluster.set_commit_delays({0.45, 0.5, 12}); });
          for (int i = 1; i <= 12; ++i) {
            const std::string id = "run-" + std::to_string(i);
            cluster.at(6 + 4 * i, [&cluster, id, i] {
@@ -318,26 +332,27 @@
          }
          for (int i = 0; i < 5; ++i)
            cluster.at(15 + 13 * i, [&cluster, i] { cluster.crash(i % 3, i % 2 ? 0.2 : 4); });
-         cluster.at(80, [&cluster] { cluster.late_writes({}); });
+         cluster.at(80, [&cluster] { cluster.set_commit_delays({}); });
        },
-       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.landed_late(), 6u); }},
+       [](SimulatedCluster& cluster) { EXPECT_GE(cluster.delayed_commits(), 6u); }},
       {"LeaderReachesOnlyItsWorkersAndUsers", 40,
        [](SimulatedCluster& cluster, Load& load) {
          usual(cluster, load);
          load.off = {"run-1"};
          cluster.at(6, [&cluster] { cluster.submit(cluster.job("run-1", "blue", 6, 1, 400)); });
          cluster.at(14, [&cluster] {
-           cluster.cut({"n1"}, {"state", "n0", "n2", "cloud"}, CutMode::reset);
+           cluster.partition_network({"n1"}, {"state", "n0", "n2", "cloud"},
+                                     NetworkPartitionMode::reset);
          });
          cluster.at(20, [&cluster] {
            ASSERT_NE(cluster.leader_of(1), 1);
            cluster.cancel("run-1");
          });
-         cluster.at(35, [&cluster] { cluster.heal(); });
+         cluster.at(35, [&cluster] { cluster.heal_network(); });
        },
        [](SimulatedCluster& cluster) {
-         EXPECT_GE(cluster.confirmed("run-1").node, 0);
-         EXPECT_NE(cluster.confirmed("run-1").node, 1);
+         EXPECT_GE(cluster.cancel_confirmation("run-1").node, 0);
+         EXPECT_NE(cluster.cancel_confirmation("run-1").node, 1);
        }},
   };
   return all;
@@ -353,10 +368,10 @@
   SimulatedCluster cluster(options);
   Load load;
   day.script(cluster, load);
-  cluster.at(day.over, [&] { cluster.faults_over(); });
+  cluster.at(day.over, [&] { cluster.mark_faults_ended(); });
   cluster.run_until(day.over + 130);
   day.reached(cluster);
-  cluster.checker().day_over(cluster.now());
+  cluster.checker().on_run_end(cluster.now());
   expect_rules_kept(cluster);
   for (const auto& id : load.end) EXPECT_EQ(cluster.phase(id), "done") << id;
   for (const auto& id : load.run) EXPECT_EQ(cluster.tasks_on(id), 1u) << id;
--- a/tests/http_api_test.cc
+++ b/tests/http_api_test.cc
@@ -14,7 +14,7 @@
   std::string body;
   void ask(const std::string& method, const std::string& path, const std::string& text = "") {
     status = -1;
-    cluster.raw(1, method, path, text, [this](int code, std::string text) {
+    cluster.send_request(1, method, path, text, [this](int code, std::string text) {
       status = code;
       body = text;
     });
@@ -87,7 +87,7 @@
 
 // Invariant 9: what cannot be taken is refused at once.
 TEST_F(HttpApi, SubmissionsAreRejectedImmediatelyDuringAnOutage) {
-  cluster.state_outage(true);
+  cluster.set_store_outage(true);
   ask("POST", "/v1/jobs", submission(cluster.job("run-1", "red", 1)));
   EXPECT_EQ(status, 503);
 }
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -11,7 +11,7 @@
 
 Options large() {
   Options options;
-  options.machines = kMachines;
+  options.initial_machines = kMachines;
   options.heartbeat_interval_s = 5;
   options.lease_s = 26;
   options.cancel_s = 44;
@@ -35,17 +35,17 @@
   cluster.at(30, [&] {
     for (const char* team : {"red", "blue", "gold"})
       running += cluster.tasks_on(std::string("run-") + std::to_string(team[0]));
-    cluster.kill_machine(machine(1));
-    cluster.take_machine(machine(2), 0);
+    cluster.kill_machine(machine_id(1));
+    cluster.reclaim_machine(machine_id(2), 0);
     cluster.crash(cluster.leader_of(0), 4);
   });
   cluster.run_until(62);
   EXPECT_GE(running, 3800u);
-  EXPECT_GE(cluster.lines("machine assigned"), static_cast<std::size_t>(kMachines));
-  EXPECT_GE(cluster.lines("partition claimed"), 4u);
+  EXPECT_GE(cluster.count_trace_lines("machine assigned"), static_cast<std::size_t>(kMachines));
+  EXPECT_GE(cluster.count_trace_lines("partition claimed"), 4u);
   // Each is known to be gone by a whole list alone.
-  EXPECT_EQ(cluster.lines("machine released machine=" + machine(1)), 1u);
-  EXPECT_GE(cluster.lines("machine forgotten machine=" + machine(2)), 1u);
+  EXPECT_EQ(cluster.count_trace_lines("machine released machine=" + machine_id(1)), 1u);
+  EXPECT_GE(cluster.count_trace_lines("machine forgotten machine=" + machine_id(2)), 1u);
   for (int n = 0; n < 3; ++n)
     for (const auto& [partition, core] : cluster.node(n)->partition_leader().partitions())
       EXPECT_LT(core->steps(), 40u * kMachines)
--- a/tests/leader_rejected_test.cc
+++ b/tests/leader_rejected_test.cc
@@ -21,7 +21,7 @@
 
 struct Gap {
   std::uint64_t seed;
-  Delays late;            // of the commits just before the refusal
+  DelayModel late;        // of the commits just before the refusal
   double outage_after_s;  // from the refusal
 };
 
@@ -36,15 +36,15 @@
   }
   // From a moment before the refusal on, until it, commits get no answer.
   void gap(SimulatedCluster& cluster) const {
-    cluster.at(kAt - 0.3, [&cluster] { cluster.late_writes(GetParam().late); });
+    cluster.at(kAt - 0.3, [&cluster] { cluster.set_commit_delays(GetParam().late); });
     cluster.at(kAt, [&cluster] {
-      cluster.late_writes({});
-      cluster.state_refuses(kLeader, true);
+      cluster.set_commit_delays({});
+      cluster.set_store_unavailable_to(kLeader, true);
     });
-    cluster.at(kAt + GetParam().outage_after_s, [&cluster] { cluster.state_outage(true); });
+    cluster.at(kAt + GetParam().outage_after_s, [&cluster] { cluster.set_store_outage(true); });
     cluster.at(kAt + GetParam().outage_after_s + kOutageS, [&cluster] {
-      cluster.state_outage(false);
-      cluster.state_refuses(kLeader, false);
+      cluster.set_store_outage(false);
+      cluster.set_store_unavailable_to(kLeader, false);
     });
   }
   double outage_at() const { return kAt + GetParam().outage_after_s; }
@@ -65,16 +65,16 @@
   cluster.at(outage_at() + 50, [&] { confirmed = cluster.heartbeats_accepted(kLeader); });
   cluster.run_until(outage_at() + kOutageS - 1);
   // They meet: another controller has confirmed, and the workers stayed with the old leader.
-  ASSERT_GE(cluster.confirmed("run-1").node, 0);
-  EXPECT_NE(cluster.confirmed("run-1").node, kLeader);
-  EXPECT_LT(cluster.confirmed("run-1").at, outage_at());
+  ASSERT_GE(cluster.cancel_confirmation("run-1").node, 0);
+  EXPECT_NE(cluster.cancel_confirmation("run-1").node, kLeader);
+  EXPECT_LT(cluster.cancel_confirmation("run-1").confirmed_at_s, outage_at());
   EXPECT_GT(confirmed, before + 40);
   EXPECT_EQ(cluster.tasks_on("run-1"), 0u);
   EXPECT_EQ(cluster.tasks_on("run-2"), 4u);
   // Whichever controller is polled, none contradicts it.
   for (int n = 0; n < 3; ++n) cluster.poll_once(n, "run-1", [](int, const std::string&) {});
   cluster.run_until(130);
-  cluster.checker().faults_over(90);
+  cluster.checker().on_faults_ended(90);
   EXPECT_EQ(cluster.phase("run-1"), "cancelled");
   expect_rules_kept(cluster);
 }
@@ -88,7 +88,7 @@
   });
   gap(cluster);
   // Whenever it ends, the commit of its end is without answer.
-  cluster.at(kAt - 2, [&] { cluster.late_writes(GetParam().late); });
+  cluster.at(kAt - 2, [&] { cluster.set_commit_delays(GetParam().late); });
   bool told = false;
   for (double time_s = kAt; time_s < outage_at() + 40; time_s += 0.5)
     cluster.at(time_s, [&] {
@@ -105,7 +105,7 @@
 
 std::vector<Gap> gaps() {
   std::vector<Gap> out;
-  const Delays lost{1, 0.005, 0.01}, late{1, 0.6, 1.6};
+  const DelayModel lost{1, 0.005, 0.01}, late{1, 0.6, 1.6};
   for (std::uint64_t seed : {1, 2, 3, 4})
     for (double after : {2.2, 3.0, 3.6}) {
       out.push_back({seed, lost, after});
@@ -118,7 +118,7 @@
                          [](const auto& info) {
                            const Gap& gap = info.param;
                            return "Seed" + std::to_string(gap.seed) +
-                                  (gap.late.least_s < 0.1 ? "LostReply" : "LateCommit") +
+                                  (gap.late.min_s < 0.1 ? "LostReply" : "LateCommit") +
                                   "OutageAfterMs" +
                                   std::to_string(std::lround(gap.outage_after_s * 1000));
                          });
@@ -134,22 +134,22 @@
   options.seed = seed;
   SimulatedCluster cluster(options);
   submit_lasting_arrays(cluster);
-  cluster.at(30, [&] { cluster.state_refuses(1, true); });
+  cluster.at(30, [&] { cluster.set_store_unavailable_to(1, true); });
   cluster.at(30 + after - 0.4, [&] {
     ASSERT_NE(cluster.leader_of(1), 1);
     cluster.cancel("run-1");
   });
-  cluster.at(30 + after, [&] { cluster.state_outage(true); });
+  cluster.at(30 + after, [&] { cluster.set_store_outage(true); });
   cluster.run_until(30 + after + 52);
-  ASSERT_NE(cluster.confirmed("run-1").node, -1);
-  EXPECT_LT(cluster.confirmed("run-1").at, 30 + after);
+  ASSERT_NE(cluster.cancel_confirmation("run-1").node, -1);
+  EXPECT_LT(cluster.cancel_confirmation("run-1").confirmed_at_s, 30 + after);
   EXPECT_EQ(cluster.tasks_on("run-1"), 0u);
   EXPECT_EQ(cluster.tasks_on("run-2"), 4u);
-  EXPECT_EQ(cluster.lines("lease expired"), 0u);
-  cluster.state_outage(false);
-  cluster.state_refuses(1, false);
+  EXPECT_EQ(cluster.count_trace_lines("lease expired"), 0u);
+  cluster.set_store_outage(false);
+  cluster.set_store_unavailable_to(1, false);
   cluster.run_until(130);
-  cluster.checker().faults_over(90);
+  cluster.checker().on_faults_ended(90);
   expect_rules_kept(cluster);
 }
 
--- a/tests/measure/upgrade_measures.cc
+++ b/tests/measure/upgrade_measures.cc
@@ -39,13 +39,13 @@
       const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(n % 3)];
       JobSpec job = cluster.job("run-" + std::to_string(n), team, 1, 0.2, 2);
       const double asked = cluster.now();
-      cluster.raw(n % 3, "POST", "/v1/jobs", submission_text(job),
-                  [&load, &cluster, asked](int status, std::string) {
-                    const double took = cluster.now() - asked;
-                    (status == 201 ? load.accepted : load.refused) += 1;
-                    load.slowest_s = std::max(load.slowest_s, took);
-                    load.sum_s += took;
-                  });
+      cluster.send_request(n % 3, "POST", "/v1/jobs", submission_text(job),
+                           [&load, &cluster, asked](int status, std::string) {
+                             const double took = cluster.now() - asked;
+                             (status == 201 ? load.accepted : load.refused) += 1;
+                             load.slowest_s = std::max(load.slowest_s, took);
+                             load.sum_s += took;
+                           });
     });
 }
 
@@ -94,7 +94,7 @@
 
 double time_to_convert(int jobs, double write_rps, double share) {
   Options options = upgrade_options(1);
-  options.machines = 40;
+  options.initial_machines = 40;
   options.teams = {{"red", 100, 400, 0, 0}, {"blue", 100, 400, 0, 0}, {"gold", 100, 400, 0, 0}};
   options.state_rps = 400;
   options.state_write_rps = write_rps;
@@ -156,7 +156,7 @@
 ArrayCost cost_of_array(const ArrayCase& array, bool compact) {
   Options options = upgrade_options(3);
   options.value_kb = array.value_kb;
-  options.machines = 30;
+  options.initial_machines = 30;
   options.teams = {{"red", 240, 240, 0, 0}, {"blue", 1, 48, 0, 0}, {"gold", 1, 48, 0, 0}};
   UpgradeCluster cluster(options);
   if (compact) cluster.advance_to(5, ClusterVersion::write_compact);
@@ -168,11 +168,11 @@
   for (double time_s = 13; time_s < 500 && cluster.phase("run-1") != "done"; time_s += 0.5) {
     cluster.run_until(time_s);
     std::size_t bytes = 0;
-    for (const auto& key : cluster.keys("d/")) bytes += cluster.stored(key)->size();
+    for (const auto& key : cluster.keys("d/")) bytes += cluster.stored_value(key)->size();
     cost.most_bytes = std::max(cost.most_bytes, bytes);
-    cost.most_keys = std::max(cost.most_keys, cluster.keys_under("d/"));
+    cost.most_keys = std::max(cost.most_keys, cluster.count_keys("d/"));
   }
-  cost.writes = cluster.versions().progress_written(compact);
+  cost.writes = cluster.version_checker().progress_writes(compact);
   if (cluster.phase("run-1") != "done") std::printf("(not done) ");
   return cost;
 }
@@ -205,8 +205,8 @@
   for (const bool enabled : {false, true, false, true}) {
     Options options = upgrade_options(1);
     if (!enabled) options.upgrades.reset();
-    options.machines = 4000;
-    options.capacity = 0;
+    options.initial_machines = 4000;
+    options.rentable_machines = 0;
     options.heartbeat_interval_s = 5;
     options.lease_s = 26;
     options.cancel_s = 60;
--- a/tests/measure/write_fixtures.cc
+++ b/tests/measure/write_fixtures.cc
@@ -29,9 +29,10 @@
 StoredValues values_of(UpgradeCluster& cluster) {
   if (!cluster.checker().violations().empty())
     throw std::runtime_error(cluster.checker().violations().front());
-  if (cluster.lines("lease expired") > 0) throw std::runtime_error("a machine was lost");
+  if (cluster.count_trace_lines("lease expired") > 0)
+    throw std::runtime_error("a machine was lost");
   StoredValues values;
-  for (const std::string& key : cluster.keys("")) values[key] = *cluster.stored(key);
+  for (const std::string& key : cluster.keys("")) values[key] = *cluster.stored_value(key);
   return values;
 }
 
@@ -48,8 +49,9 @@
 // A machine fails, and is released; the cloud does not take it back before the day is over.
 void release_a_machine(UpgradeCluster& cluster) {
   cluster.kill_machine(kReleasedMachine);
-  while (cluster.lines("machine released") == 0) cluster.run_until(cluster.now() + 0.01);
-  cluster.cloud_outage(true);
+  while (cluster.count_trace_lines("machine released") == 0)
+    cluster.run_until(cluster.now() + 0.01);
+  cluster.set_cloud_outage(true);
 }
 
 // Steps of every kind, and a machine that is released.
--- a/tests/overload_test.cc
+++ b/tests/overload_test.cc
@@ -12,9 +12,9 @@
 // A cluster that can rent no further machine.
 Options fixed_fleet(int machines, int nodes) {
   Options options;
-  options.machines = machines;
+  options.initial_machines = machines;
   options.nodes = nodes;
-  options.capacity = 0;
+  options.rentable_machines = 0;
   return options;
 }
 
@@ -22,7 +22,7 @@
 // begins all the same, and so does a task that needs a whole machine.
 TEST(Overload, BestEffortJobsAndTheLargestTasksStartInTime) {
   Options options = fixed_fleet(4, 3);
-  options.latency_ms = 150;
+  options.max_latency_ms = 150;
   options.teams.push_back({"guest", 0, 1e9, 0, 0});
   SimulatedCluster cluster(options);
   cluster.at(5, [&] {
@@ -46,7 +46,7 @@
       cluster.submit(spec);
     });
   cluster.run_until(320);
-  cluster.checker().day_over(320);
+  cluster.checker().on_run_end(320);
   expect_rules_kept(cluster);
 }
 
@@ -55,15 +55,15 @@
 TEST(Overload, RecoveredMachinesTakeWorkInTime) {
   SimulatedCluster cluster(fixed_fleet(2, 1));
   for (int i = 0; i < 2; ++i) {
-    cluster.at(4, [&cluster, i] { cluster.set_sick(machine(i), true); });
-    cluster.at(150, [&cluster, i] { cluster.set_sick(machine(i), false); });
+    cluster.at(4, [&cluster, i] { cluster.set_machine_faulty(machine_id(i), true); });
+    cluster.at(150, [&cluster, i] { cluster.set_machine_faulty(machine_id(i), false); });
   }
   for (int i = 0; i < 7; ++i)
     cluster.at(5 + 20 * i, [&cluster, i] {
       cluster.submit(
           cluster.job("run-" + std::to_string(i), std::array{"red", "blue", "gold"}[i % 3], 2));
     });
-  cluster.at(150, [&cluster] { cluster.faults_over(); });
+  cluster.at(150, [&cluster] { cluster.mark_faults_ended(); });
   cluster.run_until(250);
   expect_rules_kept(cluster);
   for (int i = 0; i < 7; ++i) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done") << i;
@@ -78,15 +78,15 @@
   cluster.at(8, [&] {
     full = cluster.machines_of("run-800").at(0);
     for (int i = 0; i < 3; ++i)
-      if (machine(i) != full) cluster.set_sick(machine(i), true);
+      if (machine_id(i) != full) cluster.set_machine_faulty(machine_id(i), true);
     JobSpec spec = cluster.job("run-1", "blue", 1, 1, 10);
     spec.deadline_s = 11;  // no slack: idle machines are kept
     cluster.submit(spec);
   });
   cluster.at(60, [&] {
     EXPECT_GE(cluster.checker().starts(), 3u);  // it has failed
-    for (int i = 0; i < 3; ++i) cluster.set_sick(machine(i), false);
-    cluster.faults_over();
+    for (int i = 0; i < 3; ++i) cluster.set_machine_faulty(machine_id(i), false);
+    cluster.mark_faults_ended();
   });
   cluster.run_until(200);
   expect_rules_kept(cluster);
@@ -97,7 +97,7 @@
 // none is idle: work that waits gets its room all the same.
 TEST(Overload, CapacityBesideServicesOfOtherPartitionsIsUsed) {
   Options options;
-  options.capacity = 0;
+  options.rentable_machines = 0;
   SimulatedCluster cluster(options);
   cluster.at(5, [&] {
     for (int i = 0; i < 6; ++i) {
@@ -119,7 +119,7 @@
       cluster.submit(spec);
     }
   });
-  cluster.faults_over();
+  cluster.mark_faults_ended();
   cluster.run_until(200);
   expect_rules_kept(cluster);
 }
--- a/tests/prerequisites_upgrade_test.cc
+++ b/tests/prerequisites_upgrade_test.cc
@@ -11,14 +11,14 @@
 
 // ------------------------------------------------------------------------------------- upgrade
 
-class PrerequisitesUpgrade : public Seeds {
+class PrerequisitesUpgrade : public SeededTest {
  protected:
   static Options old_build(std::uint64_t seed) {
-    Options options = seeded(seed);
-    options.old_nodes = {0, 1, 2};
-    options.next_value_kb = 2;
-    options.next_txn_ops = 5;
-    options.next_write_rps = 60;
+    Options options = options_with_seed(seed);
+    options.old_build_nodes = {0, 1, 2};
+    options.announced_value_kb = 2;
+    options.announced_txn_ops = 5;
+    options.announced_write_rps = 60;
     return options;
   }
   // Jobs before, during and after, some of them cancelled.
@@ -26,14 +26,14 @@
     for (int n = 0; n < 20; ++n) {
       cluster.at(5 + 2.5 * n, [&cluster, n] {
         const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(n % 3)];
-        cluster.submit(cluster.job(id(100 + n), team, 6, 1, 3 + n % 7));
+        cluster.submit(cluster.job(job_id(100 + n), team, 6, 1, 3 + n % 7));
       });
-      if (n % 5 == 0) cluster.at(7 + 2.5 * n, [&cluster, n] { cluster.cancel(id(100 + n)); });
+      if (n % 5 == 0) cluster.at(7 + 2.5 * n, [&cluster, n] { cluster.cancel(job_id(100 + n)); });
     }
   }
   static void expect_ordinary_ended(SimulatedCluster& cluster) {
     for (int n = 0; n < 20; ++n)
-      EXPECT_EQ(cluster.phase(id(100 + n)), n % 5 ? "done" : "cancelled") << n;
+      EXPECT_EQ(cluster.phase(job_id(100 + n)), n % 5 ? "done" : "cancelled") << n;
   }
 };
 
@@ -44,20 +44,21 @@
   cluster.at(14, [&] { cluster.crash(1, 3); });  // before its turn: it comes back old
   cluster.at(20, [&] { cluster.upgrade(0); });
   cluster.at(28, [&] {
-    cluster.raw(0, "POST", "/v1/jobs",
-                submission_text(needing(cluster.job("run-9", "red", 1), {"run-101"})),
-                [&](int status, std::string) { ++mixed[status]; });
+    cluster.send_request(
+        0, "POST", "/v1/jobs",
+        submission_text(with_prerequisites(cluster.job("run-9", "red", 1), {"run-101"})),
+        [&](int status, std::string) { ++mixed[status]; });
   });
   cluster.at(30, [&] { cluster.upgrade(1); });
   cluster.at(40, [&] { cluster.upgrade(2); });
-  cluster.at(50, [&] { cluster.limit_state(2, 5, 60); });
+  cluster.at(50, [&] { cluster.set_store_limits(2, 5, 60); });
   cluster.at(52, [&] { submit_pipeline(cluster, 5); });
   cluster.at(60, [&] { cluster.crash(cluster.leader_of(1), 4); });
   cluster.run_until(140);
   EXPECT_EQ(mixed[503], 1);  // a peer is known to be old
   expect_ordinary_ended(cluster);
   expect_phase(cluster, {"run-1", "run-2", "run-3"}, "done");
-  EXPECT_EQ(cluster.refused_too_large(), 0u);
+  EXPECT_EQ(cluster.commits_too_large(), 0u);
   expect_rules_kept(cluster);
 }
 
@@ -65,8 +66,8 @@
   SimulatedCluster cluster(old_build(GetParam()));
   submit_ordinary(cluster);
   cluster.at(20, [&] { cluster.upgrade(2); });
-  cluster.at(27, [&] { cluster.state_outage(true); });
-  cluster.at(39, [&] { cluster.state_outage(false); });
+  cluster.at(27, [&] { cluster.set_store_outage(true); });
+  cluster.at(39, [&] { cluster.set_store_outage(false); });
   cluster.at(42, [&] {  // all at once; one comes back old
     cluster.upgrade(0, 1);
     cluster.crash(1, 2);
@@ -82,7 +83,7 @@
 
 // Nothing is known of a controller that is away: that is no reason to refuse.
 TEST_P(PrerequisitesUpgrade, AbsentControllerDoesNotBlockChains) {
-  SimulatedCluster cluster(seeded(GetParam()));
+  SimulatedCluster cluster(options_with_seed(GetParam()));
   cluster.at(10, [&] { cluster.crash(2, 500); });
   cluster.at(20, [&] { submit_pipeline(cluster, 4); });
   cluster.run_until(90);
@@ -92,8 +93,8 @@
 
 // An earlier build that comes back finds jobs with prerequisites: it starts none of them.
 TEST_P(PrerequisitesUpgrade, EarlierBuildIgnoresJobsWithPrerequisites) {
-  Options options = seeded(GetParam());
-  options.old_nodes = {0, 1, 2};
+  Options options = options_with_seed(GetParam());
+  options.old_build_nodes = {0, 1, 2};
   SimulatedCluster cluster(options);
   for (int n = 0; n < 3; ++n) cluster.at(1 + n, [&cluster, n] { cluster.upgrade(n, 0.5); });
   cluster.at(15, [&] { submit_pipeline(cluster, 20); });
--- a/tests/processes/command_line_test.cc
+++ b/tests/processes/command_line_test.cc
@@ -139,28 +139,29 @@
   ASSERT_TRUE(all_act_under(1));
 
   // The state store refuses all: nothing was done, or it is not known.
-  cluster.state_outage(true);
+  cluster.set_store_outage(true);
   EXPECT_LT(timed(advance, {kFailed, kNotKnown}), kBoundedS);
-  cluster.state_outage(false);
+  cluster.set_store_outage(false);
   cluster_.run_for(3);
   ASSERT_EQ(cluster_.simulated_cluster().cluster_version(), 1u);
 
   // It carries transactions out late and without an answer: the outcome is read, not tried again.
   ASSERT_TRUE(all_act_under(1));
-  cluster.late_writes({1, 1, 3});
+  cluster.set_commit_delays({1, 1, 3});
   EXPECT_LT(timed(advance, {kDone, kNotKnown}), kBoundedS);
-  cluster.late_writes({});
+  cluster.set_commit_delays({});
   cluster_.run_for(5);
   EXPECT_EQ(cluster_.simulated_cluster().cluster_version(), 2u);
-  EXPECT_EQ(cluster_.simulated_cluster().versions().versions(), (std::vector<std::uint64_t>{1, 2}));
+  EXPECT_EQ(cluster_.simulated_cluster().version_checker().versions(),
+            (std::vector<std::uint64_t>{1, 2}));
 
   // It is slow.
   ASSERT_TRUE(all_act_under(2));
-  cluster.state_slow(1.0);
+  cluster.set_max_store_latency(1.0);
   EXPECT_LT(timed({"status"}, {kDone}), kBoundedS);
   EXPECT_LT(timed({"history"}, {kDone, kFailed}), kBoundedS);
   EXPECT_LT(timed({"abort", "--reason", "a test"}, {kDone, kFailed, kNotKnown}), kBoundedS);
-  cluster.state_slow(0);
+  cluster.set_max_store_latency(0);
   EXPECT_LT(timed({"history", "--json"}, {kDone}), kBoundedS);
   rapidjson::Document history;
   history.Parse(cluster_.last_output().c_str());
--- a/tests/processes/process_cluster.cc
+++ b/tests/processes/process_cluster.cc
@@ -37,7 +37,8 @@
     const net::Address api = net::parse_address(addresses_.back().api).value();
     clients_.push_back(std::make_unique<net::HttpClient>(base_.get(), api));
   }
-  options_.processes = [this](int node, HttpRequest request, std::function<void(HttpReply)> done) {
+  options_.process_request = [this](int node, HttpRequest request,
+                                    std::function<void(HttpReply)> done) {
     call_controller(node, request, std::move(done));
   };
   options_.worker_address = [this](const std::string& machine) { return add_worker(machine); };
--- a/tests/processes/rolling_upgrade_processes_test.cc
+++ b/tests/processes/rolling_upgrade_processes_test.cc
@@ -81,7 +81,7 @@
   }
   bool has_record(int node) {
     const std::string* record =
-        cluster_.simulated_cluster().stored("e/node/n" + std::to_string(node));
+        cluster_.simulated_cluster().stored_value("e/node/n" + std::to_string(node));
     const std::string mark = upgraded_.count(node) ? "\"newest\":4" : "\"boot\"";
     return record && record->find(mark) != std::string::npos;
   }
@@ -155,14 +155,14 @@
   cluster_.run_for(3);
 
   submitting_ = false;
-  cluster_.simulated_cluster().faults_over();
+  cluster_.simulated_cluster().mark_faults_ended();
   EXPECT_TRUE(cluster_.run_until(kDrainPatienceS, [&] { return all_ended(); }));
   for (int node = 0; node < 3; ++node) {
     EXPECT_FALSE(cluster_.ended(node)) << "n" << node << " ended by itself";
     EXPECT_EQ(cluster_.simulated_cluster().acting(node), 4u);
   }
   EXPECT_EQ(cluster_.simulated_cluster().progress_in_bits(), 0u);
-  EXPECT_GT(cluster_.simulated_cluster().versions().progress_written(true), 0u);
+  EXPECT_GT(cluster_.simulated_cluster().version_checker().progress_writes(true), 0u);
   std::printf("%d jobs, %zu starts, %.0f s\n", jobs_,
               cluster_.simulated_cluster().checker().starts(), cluster_.now());
   expect_rules_kept(cluster_.simulated_cluster());
--- a/tests/races_test.cc
+++ b/tests/races_test.cc
@@ -31,13 +31,13 @@
       cluster.cancel(spec.id);
       for (int n = 0; n < 3; ++n) {
         cluster.poll_once(n, spec.id, [](int, const std::string&) {});
-        cluster.repeat(n, spec);
+        cluster.resubmit(n, spec);
       }
       cluster.at(cluster.now() + 0.1, [&cluster, &spec] {
-        for (int n = 0; n < 3; ++n) cluster.repeat(n, spec);
+        for (int n = 0; n < 3; ++n) cluster.resubmit(n, spec);
       });
     });
-  cluster.faults_over();
+  cluster.mark_faults_ended();
   cluster.run_until(110);
   expect_rules_kept(cluster);
   std::map<std::string, int> ends;
@@ -65,9 +65,9 @@
   cluster.at(8, [&] {
     for (int n = 0; n < 3; ++n) cluster.crash(n, 0.1 + n);
   });
-  cluster.at(14, [&] { cluster.state_outage(true); });
+  cluster.at(14, [&] { cluster.set_store_outage(true); });
   cluster.at(15, [&] { cluster.crash(1, 0.2); });
-  cluster.at(30, [&] { cluster.state_outage(false); });
+  cluster.at(30, [&] { cluster.set_store_outage(false); });
   for (double time_s = 3; time_s < 45; time_s += 0.31)
     cluster.at(time_s, [&cluster, &odd] {
       for (int n = 0; n < 3; ++n)
@@ -75,9 +75,9 @@
     });
   cluster.at(20, [&cluster] { cluster.submit(cluster.job("run-9", "red", 2)); });
   cluster.run_until(60);
-  EXPECT_GT(cluster.invalid_rejected(400), 100u);
-  EXPECT_GT(cluster.invalid_rejected(422), 100u);
-  EXPECT_GT(cluster.invalid_rejected(503), 10u);
+  EXPECT_GT(cluster.invalid_submissions_with_status(400), 100u);
+  EXPECT_GT(cluster.invalid_submissions_with_status(422), 100u);
+  EXPECT_GT(cluster.invalid_submissions_with_status(503), 10u);
   EXPECT_EQ(cluster.phase("run-9"), "done");
   expect_rules_kept(cluster);
 }
@@ -102,25 +102,26 @@
   const auto [seed, late_s] = GetParam();
   Options options;
   options.seed = seed;
-  options.capacity = 0;
+  options.rentable_machines = 0;
   SimulatedCluster cluster(options);
   short_load(cluster);
   std::size_t before = 0;
   double moved = 0;
   cluster.at(11, [&, late_s = late_s] {
-    cluster.late_writes({1, late_s, late_s + 0.1});
-    before = cluster.lines("machine transfer");
+    cluster.set_commit_delays({1, late_s, late_s + 0.1});
+    before = cluster.count_trace_lines("machine transfer");
   });
   for (double time_s = 11.01; time_s < 60; time_s += 0.05)
     cluster.at(time_s, [&] {
-      if (moved > 0 || cluster.lines("machine transfer") == before) return;
+      if (moved > 0 || cluster.count_trace_lines("machine transfer") == before) return;
       moved = cluster.now();
-      cluster.late_writes({});
-      for (int n = 0; n < 3; ++n) cluster.state_refuses(n, true);
-      cluster.cloud_outage(true);  // nothing can be returned, so what is on the machines goes on
-      cluster.at(moved + 20, [&cluster] { cluster.cloud_outage(false); });
+      cluster.set_commit_delays({});
+      for (int n = 0; n < 3; ++n) cluster.set_store_unavailable_to(n, true);
+      cluster.set_cloud_outage(
+          true);  // nothing can be returned, so what is on the machines goes on
+      cluster.at(moved + 20, [&cluster] { cluster.set_cloud_outage(false); });
       cluster.at(moved + 3.6, [&cluster] {
-        for (int n = 0; n < 3; ++n) cluster.state_refuses(n, false);
+        for (int n = 0; n < 3; ++n) cluster.set_store_unavailable_to(n, false);
       });
       cluster.at(moved + 3.7, [&cluster] {
         for (int i = 0; i < 9; ++i)
@@ -130,8 +131,8 @@
     });
   cluster.run_until(60);
   ASSERT_GT(moved, 0);
-  ASSERT_GE(cluster.without_answer(), 1u);
-  cluster.faults_over();
+  ASSERT_GE(cluster.commits_without_reply(), 1u);
+  cluster.mark_faults_ended();
   cluster.run_until(190);
   expect_rules_kept(cluster);
   for (int i = 0; i < 9; ++i) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done") << i;
--- a/tests/random_days_test.cc
+++ b/tests/random_days_test.cc
@@ -28,7 +28,7 @@
     for (double time_s = kFaultsBegin; time_s < kFaultsEnd - 40; time_s += number_in(10, 35))
       for (int n = 0; n < 3; ++n) add_fault(time_s + number_in(0, 8));
     if (number % 3 == 0)
-      cluster_.at(number_in(40, kFaultsEnd), [this] { cluster_.limit_state(2, 5, 60); });
+      cluster_.at(number_in(40, kFaultsEnd), [this] { cluster_.set_store_limits(2, 5, 60); });
     cluster_.at(kFaultsEnd, [this] { end_all_faults(); });
   }
 
@@ -42,16 +42,16 @@
   Options day_options(std::uint64_t number) {
     Options options;
     options.seed = number;
-    options.machines = kMachines;
+    options.initial_machines = kMachines;
     if (number % 2) {
       options.heartbeat_interval_s = 5;
       options.lease_s = 26;
       options.cancel_s = 44;
     }
     if (number % 3 == 0) {  // lower limits come on some day
-      options.next_value_kb = 2;
-      options.next_txn_ops = 5;
-      options.next_write_rps = 60;
+      options.announced_value_kb = 2;
+      options.announced_txn_ops = 5;
+      options.announced_write_rps = 60;
     }
     lease_s_ = options.lease_s;
     return options;
@@ -65,7 +65,7 @@
 
   std::vector<std::string> some_machines() {
     std::vector<std::string> out;
-    for (int n = 1 + pick(kMachines / 2); n > 0; --n) out.push_back(machine(pick(kMachines)));
+    for (int n = 1 + pick(kMachines / 2); n > 0; --n) out.push_back(machine_id(pick(kMachines)));
     return out;
   }
 
@@ -84,7 +84,7 @@
         job.save_s = 4;
       }
       if (!service && next > 1 && likely(0.6)) add_prerequisites(job, next);
-      cluster_.at(time_s, [this, job] { cluster_.submit_chained(job); });
+      cluster_.at(time_s, [this, job] { cluster_.submit_after_prerequisites(job); });
       if (!service && likely(0.3)) continue;
       ++cancelled_;
       cluster_.at(time_s + number_in(0.1, service ? 90 : 30), [this, id] { cluster_.cancel(id); });
@@ -149,8 +149,8 @@
         for (const auto& name : machines) (cluster_.*fault)(name, on);
       };
     };
-    const std::array kinds = {&SimulatedCluster::freeze_machine, &SimulatedCluster::deafen,
-                              &SimulatedCluster::mute};
+    const std::array kinds = {&SimulatedCluster::freeze_machine, &SimulatedCluster::block_inbound,
+                              &SimulatedCluster::block_outbound_requests};
     const auto kind = kinds[static_cast<std::size_t>(pick(3))];
     during(time_s, for_s, set(kind, true), set(kind, false));
   }
@@ -161,71 +161,72 @@
     switch (pick(4)) {
       case 0:
         return during(
-            time_s, for_s, [this] { cluster_.state_outage(true); },
-            [this] { cluster_.state_outage(false); });
+            time_s, for_s, [this] { cluster_.set_store_outage(true); },
+            [this] { cluster_.set_store_outage(false); });
       case 1:
         return during(
-            time_s, for_s, [=, this] { cluster_.state_refuses(node, true); },
-            [=, this] { cluster_.state_refuses(node, false); });
+            time_s, for_s, [=, this] { cluster_.set_store_unavailable_to(node, true); },
+            [=, this] { cluster_.set_store_unavailable_to(node, false); });
       case 2:
         return during(
             time_s, for_s,
             [this] {
-              cluster_.late_writes({0.3, 0.5, 12});
+              cluster_.set_commit_delays({0.3, 0.5, 12});
             },
-            [this] { cluster_.late_writes({}); });
+            [this] { cluster_.set_commit_delays({}); });
       default:
         return during(
-            time_s, for_s, [this] { cluster_.state_slow(1.2); },
-            [this] { cluster_.state_slow(0); });
+            time_s, for_s, [this] { cluster_.set_max_store_latency(1.2); },
+            [this] { cluster_.set_max_store_latency(0); });
     }
   }
 
   void add_network_fault(double time_s) {
     const std::string node = "n" + std::to_string(pick(3));
-    const CutMode mode = likely(0.5) ? CutMode::hold : CutMode::reset;
+    const NetworkPartitionMode mode =
+        likely(0.5) ? NetworkPartitionMode::hold : NetworkPartitionMode::reset;
     const double for_s = number_in(3, lease_s_ + 5);
     std::set<std::string> workers;
-    for (const auto& name : some_machines()) workers.insert(address(name));
+    for (const auto& name : some_machines()) workers.insert(worker_address(name));
     auto cut = [=, this](std::set<std::string> one_side, std::set<std::string> other_side) {
       during(
-          time_s, for_s, [=, this] { cluster_.cut(one_side, other_side, mode); },
-          [this] { cluster_.heal(); });
+          time_s, for_s, [=, this] { cluster_.partition_network(one_side, other_side, mode); },
+          [this] { cluster_.heal_network(); });
     };
     switch (pick(5)) {
       case 0:
-        return cut(workers, {SimulatedCluster::all()});
+        return cut(workers, {SimulatedCluster::any_address()});
       case 1:
         return cut({node}, {"state"});
       case 2:
         return cut({node}, {"state", "n0", "n1", "n2"});
       case 3:
         return during(
-            time_s, for_s, [this] { cluster_.duplicate_heartbeats(true); },
-            [this] { cluster_.duplicate_heartbeats(false); });
+            time_s, for_s, [this] { cluster_.set_duplicate_heartbeats(true); },
+            [this] { cluster_.set_duplicate_heartbeats(false); });
       default:
         return during(
             time_s, for_s,
             [this] {
-              cluster_.late_commands({0.7, 2, 16});
+              cluster_.set_command_delays({0.7, 2, 16});
             },
-            [this] { cluster_.late_commands({}); });
+            [this] { cluster_.set_command_delays({}); });
     }
   }
 
   void end_all_faults() {
-    cluster_.heal();
-    cluster_.state_outage(false);
-    cluster_.late_writes({});
-    cluster_.late_commands({});
-    cluster_.state_slow(0);
-    cluster_.duplicate_heartbeats(false);
-    for (int n = 0; n < 3; ++n) cluster_.state_refuses(n, false);
-    cluster_.faults_over();
+    cluster_.heal_network();
+    cluster_.set_store_outage(false);
+    cluster_.set_commit_delays({});
+    cluster_.set_command_delays({});
+    cluster_.set_max_store_latency(0);
+    cluster_.set_duplicate_heartbeats(false);
+    for (int n = 0; n < 3; ++n) cluster_.set_store_unavailable_to(n, false);
+    cluster_.mark_faults_ended();
     for (int i = 0; i < kMachines; ++i) {
-      cluster_.freeze_machine(machine(i), false);
-      cluster_.deafen(machine(i), false);
-      cluster_.mute(machine(i), false);
+      cluster_.freeze_machine(machine_id(i), false);
+      cluster_.block_inbound(machine_id(i), false);
+      cluster_.block_outbound_requests(machine_id(i), false);
     }
   }
 
@@ -251,7 +252,7 @@
     day.play();
     EXPECT_GT(day.cancelled(), 20u);
     EXPECT_GT(day.dependents(), 10u);
-    EXPECT_EQ(day.cluster().refused_too_large(), 0u);
+    EXPECT_EQ(day.cluster().commits_too_large(), 0u);
     EXPECT_GT(day.cluster().checker().starts(), 50u);
     expect_rules_kept(day.cluster(), "day " + std::to_string(number));
     if (std::getenv("EIDERREEL_TRACE"))
--- a/tests/rule_checker_test.cc
+++ b/tests/rule_checker_test.cc
@@ -19,13 +19,13 @@
   return spec;
 }
 
-const RuleChecker::Place kHere{"m-1", "box", "a", false}, kThere{"m-2", "box", "b", false};
+const RuleChecker::Placement kHere{"m-1", "box", "a", false}, kThere{"m-2", "box", "b", false};
 
 struct RuleCheckerTest : testing::Test {
   RuleChecker checker{{{"red", 4, 8, 0, 0}}, 40};
   void accepted(const JobSpec& spec) {
-    checker.submitted(spec);
-    checker.submit_answer(0, spec.id, 201);
+    checker.on_submission(spec);
+    checker.on_submit_reply(0, spec.id, 201);
   }
   // Exactly one rule is broken, and it is this one.
   void expect_violation(const std::string& rule) {
@@ -37,34 +37,34 @@
 
 TEST_F(RuleCheckerTest, OrdinaryLifecycleViolatesNothing) {
   accepted(job_spec("run-1"));
-  checker.phase_answered(1, "run-1", "queued");
-  checker.task_on(2, kHere, "run-1", 0);
-  checker.task_on(2, kThere, "run-1", 1);
-  checker.task_done(4, "run-1", 0);
-  checker.task_off("m-1", "run-1", 0);
-  checker.task_done(5, "run-1", 1);
-  checker.task_off("m-2", "run-1", 1);
-  checker.phase_answered(9, "run-1", "done");
-  checker.look(100);
+  checker.on_phase_reply(1, "run-1", "queued");
+  checker.on_task_started(2, kHere, "run-1", 0);
+  checker.on_task_started(2, kThere, "run-1", 1);
+  checker.on_task_done(4, "run-1", 0);
+  checker.on_task_stopped("m-1", "run-1", 0);
+  checker.on_task_done(5, "run-1", 1);
+  checker.on_task_stopped("m-2", "run-1", 1);
+  checker.on_phase_reply(9, "run-1", "done");
+  checker.check_timeouts(100);
   EXPECT_TRUE(checker.violations().empty());
 }
 
 TEST_F(RuleCheckerTest, DetectsATaskThatRunsTwice) {
   accepted(job_spec("run-1"));
-  checker.task_on(1, kHere, "run-1", 0);
-  checker.task_on(2, kThere, "run-1", 0);
+  checker.on_task_started(1, kHere, "run-1", 0);
+  checker.on_task_started(2, kThere, "run-1", 0);
   expect_violation("ran_twice");
 }
 
 TEST_F(RuleCheckerTest, DetectsAnExceededQuota) {
   accepted(job_spec("run-1", 3, 4));
-  for (std::uint32_t i = 0; i < 3; ++i) checker.task_on(1, kHere, "run-1", i);
+  for (std::uint32_t i = 0; i < 3; ++i) checker.on_task_started(1, kHere, "run-1", i);
   expect_violation("quota");
 }
 
 TEST_F(RuleCheckerTest, DetectsPlacementOnASpotMachine) {
   accepted(job_spec("run-1"));
-  checker.task_on(1, {"m-1", "box", "a", true}, "run-1", 0);
+  checker.on_task_started(1, {"m-1", "box", "a", true}, "run-1", 0);
   expect_violation("wrong_place");
 }
 
@@ -72,8 +72,8 @@
   JobSpec spec = job_spec("run-1");
   spec.one_zone = true;
   accepted(spec);
-  checker.task_on(1, kHere, "run-1", 0);
-  checker.task_on(1, kThere, "run-1", 1);
+  checker.on_task_started(1, kHere, "run-1", 0);
+  checker.on_task_started(1, kThere, "run-1", 1);
   expect_violation("wrong_place");
 }
 
@@ -81,56 +81,56 @@
   JobSpec spec = job_spec("run-1", 3);
   spec.spread = true;
   accepted(spec);
-  for (std::uint32_t i = 0; i < 3; ++i) checker.task_on(1, kHere, "run-1", i);
+  for (std::uint32_t i = 0; i < 3; ++i) checker.on_task_started(1, kHere, "run-1", i);
   expect_violation("wrong_place");
 }
 
 TEST_F(RuleCheckerTest, DetectsATaskThatRunsTooLongAfterCancellation) {
   accepted(job_spec("run-1"));
-  checker.task_on(1, kHere, "run-1", 0);
-  checker.cancel_asked("run-1");
-  checker.phase_answered(2, "run-1", "cancelled");
-  checker.look(41);
+  checker.on_task_started(1, kHere, "run-1", 0);
+  checker.on_cancel_request("run-1");
+  checker.on_phase_reply(2, "run-1", "cancelled");
+  checker.check_timeouts(41);
   EXPECT_TRUE(checker.violations().empty());
-  checker.look(43);
+  checker.check_timeouts(43);
   expect_violation("ran_cancelled");
 }
 
 TEST_F(RuleCheckerTest, DetectsAnAcceptedJobThatIsNotFound) {
   accepted(job_spec("run-1"));
-  checker.phase_answered(1, "run-1", "");
+  checker.on_phase_reply(1, "run-1", "");
   expect_violation("forgotten");
 }
 
 TEST_F(RuleCheckerTest, DetectsAnAcceptedJobThatIsRejectedLater) {
   accepted(job_spec("run-1"));
-  checker.submit_answer(1, "run-1", 422);
+  checker.on_submit_reply(1, "run-1", 422);
   expect_violation("forgotten");
 }
 
 TEST_F(RuleCheckerTest, DetectsAJobThatWasNeverSubmitted) {
-  checker.phase_answered(1, "run-7", "queued");
+  checker.on_phase_reply(1, "run-7", "queued");
   expect_violation("invented");
 }
 
 TEST_F(RuleCheckerTest, DetectsDoneBeforeAllTasksAreDone) {
   accepted(job_spec("run-1"));
-  checker.task_done(0.5, "run-1", 0);
-  checker.phase_answered(1, "run-1", "done");
+  checker.on_task_done(0.5, "run-1", 0);
+  checker.on_phase_reply(1, "run-1", "done");
   expect_violation("not_done");
 }
 
 TEST_F(RuleCheckerTest, DetectsAPhaseAfterAFinalPhase) {
   accepted(job_spec("run-1"));
-  checker.cancel_asked("run-1");
-  checker.phase_answered(1, "run-1", "cancelled");
-  checker.phase_answered(2, "run-1", "running");
+  checker.on_cancel_request("run-1");
+  checker.on_phase_reply(1, "run-1", "cancelled");
+  checker.on_phase_reply(2, "run-1", "running");
   expect_violation("went_back");
 }
 
 TEST_F(RuleCheckerTest, DetectsACancellationThatNobodyRequested) {
   accepted(job_spec("run-1"));
-  checker.phase_answered(1, "run-1", "cancelled");
+  checker.on_phase_reply(1, "run-1", "cancelled");
   expect_violation("went_back");
 }
 
@@ -140,16 +140,16 @@
   accepted(job_spec("run-1"));
   accepted(job_spec("run-2"));
   for (int now = 0; now <= 100; now += 5) {
-    checker.asked(now, "run-1", false);
-    checker.asked(now, "run-2", true);
+    checker.on_poll(now, "run-1", false);
+    checker.on_poll(now, "run-2", true);
   }
-  checker.look(100);
+  checker.check_timeouts(100);
   EXPECT_TRUE(checker.violations().empty());  // faults still last
-  checker.faults_over(100);
-  checker.asked(170, "run-1", false);
-  checker.look(174);
+  checker.on_faults_ended(100);
+  checker.on_poll(170, "run-1", false);
+  checker.check_timeouts(174);
   EXPECT_TRUE(checker.violations().empty());
-  checker.look(176);
+  checker.check_timeouts(176);
   expect_violation("forgotten");
 }
 
@@ -157,57 +157,57 @@
 TEST_F(RuleCheckerTest, DetectsAJobLeftWaitingDespiteFreeCapacity) {
   accepted(job_spec("run-1"));
   accepted(job_spec("run-2"));
-  checker.faults_over(10);
+  checker.on_faults_ended(10);
   for (int now = 0; now <= 100; ++now) {
-    checker.could_run(now, "run-1", true);
-    checker.could_run(now, "run-2", now != 50);
+    checker.on_schedulable(now, "run-1", true);
+    checker.on_schedulable(now, "run-2", now != 50);
   }
   EXPECT_TRUE(checker.violations().empty());
-  checker.could_run(101, "run-2", true);
-  checker.could_run(101, "run-1", true);
+  checker.on_schedulable(101, "run-2", true);
+  checker.on_schedulable(101, "run-1", true);
   expect_violation("left_waiting");
 }
 
 TEST_F(RuleCheckerTest, DetectsAcceptanceOfAJobThatCannotRun) {
-  checker.invalid_answer(1, "no such type", 422);
-  checker.invalid_answer(1, "no such type", 503);
+  checker.on_invalid_submission_reply(1, "no such type", 422);
+  checker.on_invalid_submission_reply(1, "no such type", 503);
   EXPECT_TRUE(checker.violations().empty());
-  checker.invalid_answer(1, "no such type", 201);
+  checker.on_invalid_submission_reply(1, "no such type", 201);
   expect_violation("accepted");
 }
 
 TEST_F(RuleCheckerTest, CountsStartsAfterAConfirmedCancellation) {
   accepted(job_spec("run-1"));
-  checker.task_on(1, kHere, "run-1", 0);
-  checker.cancel_asked("run-1");
-  checker.phase_answered(2, "run-1", "cancelled");
+  checker.on_task_started(1, kHere, "run-1", 0);
+  checker.on_cancel_request("run-1");
+  checker.on_phase_reply(2, "run-1", "cancelled");
   EXPECT_EQ(checker.starts_after_cancel(), 0u);
-  checker.task_on(3, kThere, "run-1", 1);
+  checker.on_task_started(3, kThere, "run-1", 1);
   EXPECT_EQ(checker.starts_after_cancel(), 1u);
 }
 
 // A task that hung and goes on is on its machine all the time.
 TEST_F(RuleCheckerTest, DetectsAHeartbeatAnsweredWithoutALease) {
-  checker.answered_without_lease(1, "n1 answers m-000001");
+  checker.on_reply_without_lease(1, "n1 answers m-000001");
   expect_violation("answered_without_lease");
 }
 
 TEST_F(RuleCheckerTest, DetectsACancelledTaskThatResumesAfterAHang) {
   accepted(job_spec("run-1"));
-  checker.task_on(1, kHere, "run-1", 0);
-  checker.cancel_asked("run-1");
-  checker.phase_answered(2, "run-1", "cancelled");
-  checker.task_off("m-1", "run-1", 0);  // the lease ends it
-  checker.look(43);
+  checker.on_task_started(1, kHere, "run-1", 0);
+  checker.on_cancel_request("run-1");
+  checker.on_phase_reply(2, "run-1", "cancelled");
+  checker.on_task_stopped("m-1", "run-1", 0);  // the lease ends it
+  checker.check_timeouts(43);
   EXPECT_TRUE(checker.violations().empty());
-  checker.task_on(44, kHere, "run-1", 0);
+  checker.on_task_started(44, kHere, "run-1", 0);
   expect_violation("ran_cancelled");
 }
 
 TEST_F(RuleCheckerTest, DetectsAJobThatStartsTooLate) {
   accepted(job_spec("run-1"));
-  checker.task_on(241, kHere, "run-1", 0);
-  checker.day_over(300);
+  checker.on_task_started(241, kHere, "run-1", 0);
+  checker.on_run_end(300);
   expect_violation("starved");
 }
 
@@ -215,10 +215,10 @@
 TEST_F(RuleCheckerTest, DetectsUnservedLargestJobs) {
   for (const char* id : {"run-1", "run-2", "run-3"}) {
     accepted(job_spec(id));
-    checker.task_on(1, kHere, id, 0);
+    checker.on_task_started(1, kHere, id, 0);
   }
   accepted(job_spec("run-4", 50));
-  checker.day_over(100);
+  checker.on_run_end(100);
   expect_violation("unserved");
 }
 
@@ -231,20 +231,20 @@
 TEST_F(RuleCheckerTest, StartAfterThePrerequisiteIsDoneViolatesNothing) {
   accepted(job_spec("run-1", 1));
   accepted(dependent(job_spec("run-2", 1), "run-1"));
-  checker.task_on(1, kHere, "run-1", 0);
-  checker.task_done(300, "run-1", 0);
-  checker.task_off("m-1", "run-1", 0);
-  checker.task_on(301, kHere, "run-2", 0);
-  checker.day_over(400);
+  checker.on_task_started(1, kHere, "run-1", 0);
+  checker.on_task_done(300, "run-1", 0);
+  checker.on_task_stopped("m-1", "run-1", 0);
+  checker.on_task_started(301, kHere, "run-2", 0);
+  checker.on_run_end(400);
   EXPECT_TRUE(checker.violations().empty());
 }
 
 TEST_F(RuleCheckerTest, DetectsAStartBeforeThePrerequisiteIsDone) {
   accepted(job_spec("run-1", 2));
   accepted(dependent(job_spec("run-2", 1), "run-1"));
-  checker.task_on(1, kHere, "run-1", 0);
-  checker.task_done(2, "run-1", 0);  // one task of two
-  checker.task_on(3, kThere, "run-2", 0);
+  checker.on_task_started(1, kHere, "run-1", 0);
+  checker.on_task_done(2, "run-1", 0);  // one task of two
+  checker.on_task_started(3, kThere, "run-2", 0);
   expect_violation("too_early");
 }
 
@@ -252,20 +252,20 @@
   accepted(job_spec("run-1"));
   accepted(dependent(job_spec("run-2"), "run-1"));
   accepted(dependent(job_spec("run-3"), "run-2"));
-  checker.cancel_asked("run-1");
-  checker.phase_answered(10, "run-1", "cancelled");
-  checker.phase_answered(49, "run-3", "queued");
-  checker.phase_answered(49, "run-2", "cancelled");
+  checker.on_cancel_request("run-1");
+  checker.on_phase_reply(10, "run-1", "cancelled");
+  checker.on_phase_reply(49, "run-3", "queued");
+  checker.on_phase_reply(49, "run-2", "cancelled");
   EXPECT_TRUE(checker.violations().empty());
-  checker.phase_answered(51, "run-3", "queued");
+  checker.on_phase_reply(51, "run-3", "queued");
   expect_violation("orphaned");
 }
 
 TEST_F(RuleCheckerTest, DetectsACancellationByAJobThatIsNoPrerequisite) {
   accepted(job_spec("run-1"));
   accepted(dependent(job_spec("run-2"), "run-1"));
-  checker.cancel_asked("run-2");
-  checker.phase_answered(1, "run-1", "cancelled");
+  checker.on_cancel_request("run-2");
+  checker.on_phase_reply(1, "run-1", "cancelled");
   expect_violation("went_back");
 }
 
--- a/tests/standin/expectations.h
+++ b/tests/standin/expectations.h
@@ -1,5 +1,5 @@
-// What the tests of the simulated cluster share: names of its machines, and the rules that every
-// day must keep.
+// Helpers for the tests of the simulated cluster: machine ids, worker addresses, and the check that
+// no rule of the protocol was violated.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -9,19 +9,19 @@
 
 namespace eiderreel::standin {
 
-// The n-th machine of a simulated cluster, and its address.
-inline std::string machine(int n) {
+// The id of the n-th machine of a simulated cluster, and the address of its worker.
+inline std::string machine_id(int n) {
   const std::string digits = std::to_string(n);
   return "m-" + std::string(6 - digits.size(), '0') + digits;
 }
-inline std::string address(const std::string& machine) { return "w-" + machine; }
+inline std::string worker_address(const std::string& machine) { return "w-" + machine; }
 
-// Names the cases of a suite by their seeds.
+// Names the instances of a parameterized test by their seeds.
 inline std::string seed_name(const testing::TestParamInfo<std::uint64_t>& info) {
   return "Seed" + std::to_string(info.param);
 }
 
-// No rule is broken, and the day was one on which tasks started.
+// Expects that no rule was violated and that at least one task was started.
 inline void expect_rules_kept(SimulatedCluster& cluster, const std::string& day = "") {
   for (const auto& rule : cluster.checker().violations())
     ADD_FAILURE() << day << " rule broken: " << rule;
--- a/tests/standin/old_build.h
+++ b/tests/standin/old_build.h
@@ -1,5 +1,6 @@
-// A controller of the build before prerequisites, made of the new one: what that build does not
-// write is taken out of what this one writes, and what that build does not read is hidden from it.
+// Emulates a controller of the last build without prerequisites on top of the current build: fields
+// that the old build does not write are removed from outgoing messages, and fields that it does not
+// read are renamed in incoming ones.
 #pragma once
 #include <regex>
 #include <string>
@@ -8,13 +9,13 @@
 
 namespace eiderreel::standin {
 
-inline std::string replace_all(std::string text, const std::string& what, const std::string& by) {
-  for (auto at = text.find(what); at != std::string::npos; at = text.find(what, at + by.size()))
-    text.replace(at, what.size(), by);
+inline std::string replace_all(std::string text, const std::string& from, const std::string& to) {
+  for (auto at = text.find(from); at != std::string::npos; at = text.find(from, at + to.size()))
+    text.replace(at, from.size(), to);
   return text;
 }
 
-// Bodies of its requests to the state store.
+// Converts the body of a request to the state store to what the old build would write.
 inline std::string as_old_build_writes(const std::string& body) {
   static const std::regex features(",\"features\":[0-9]+");
   static const std::regex ended_at("(\"phase\":\"[a-z]+\"),\"at_ms\":[0-9]+");
@@ -23,7 +24,7 @@
   return std::regex_replace(std::regex_replace(body, features, ""), ended_at, "$1");
 }
 
-// Answers to its requests, and requests of users.
+// Hides fields that the old build does not read, in replies of services and in requests of users.
 inline std::string as_old_build_reads(const std::string& body) {
   std::string text = replace_all(body, "\"job\":{", "\"unread\":{");
   text = replace_all(text, "\"awaits\":[", "\"unread_list\":[");
@@ -31,7 +32,7 @@
   return replace_all(text, "\"roaring\":", "\"unread_roaring\":");
 }
 
-// Its messages to its peers.
+// Converts an encoded peer message to what the old build would send.
 inline std::string as_old_build_sends(const std::string& bytes) {
   auto message = peer_rpc::decode(bytes);
   if (!message) return bytes;
--- a/tests/standin/options.h
+++ b/tests/standin/options.h
@@ -1,4 +1,4 @@
-// What a simulated cluster is made of.
+// Configuration of a simulated cluster.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -13,36 +13,41 @@
 
 namespace eiderreel::standin {
 
-// What becomes of messages across a network partition: held until it heals, or the connection is
-// reset at once.
-enum class CutMode { hold, reset };
+// What happens to messages across a network partition: they are held until the partition heals, or
+// the connection is reset immediately.
+enum class NetworkPartitionMode { hold, reset };
 
-// A deployment, and how its surroundings behave.
+// The deployment of the controllers, and the behavior of the services around them.
 struct Options {
   std::uint64_t seed = 1;
   int nodes = 3;
   double heartbeat_interval_s = 1, lease_s = 10, cancel_s = 40;
   double state_rps = 200, state_write_rps = 100;
   std::vector<Team> teams = {{"red", 16, 48, 0, 0}, {"blue", 16, 48, 0, 0}, {"gold", 16, 48, 0, 0}};
-  int machines = 6;  // of 8 CPUs, up from the start
-  int capacity = 4;  // further ones for rent, of each kind in each zone
+  int initial_machines = 6;  // machines of 8 CPUs that run from the start
+  int rentable_machines =
+      4;  // more machines that can be rented, for each zone and each of spot and on-demand
   double boot_s = 6;
-  double latency_ms = 4;  // of a message, at most
-  bool limits = false;    // whether the state store refuses above its rates
-  double value_kb = 8;    // of the state store
+  double max_latency_ms = 4;    // upper bound of the latency of a message
+  bool enforce_limits = false;  // whether the state store rejects writes above its rate
+  double value_kb = 8;          // largest value that the state store accepts
   int txn_ops = 16;
-  // Limits of the state store that the controllers are told of, beside the ones in force.
-  std::optional<double> next_value_kb, next_write_rps;
-  std::optional<int> next_txn_ops;
-  std::set<int> old_nodes;           // controllers that start as the build before prerequisites
-  std::size_t changes_kept = 10000;  // by the state store, for followers
-  // What the operators' upgrade file says, the same for all controllers; without one, they take no
-  // partition in cluster versions.
+  // Lower state store limits in the settings of the controllers, announced before the store
+  // enforces them.
+  std::optional<double> announced_value_kb, announced_write_rps;
+  std::optional<int> announced_txn_ops;
+  std::set<int>
+      old_build_nodes;  // controllers that start with the last build without prerequisites
+  std::size_t retained_changes =
+      10000;  // length of the change history that the state store keeps for watches
+  // Contents of the operators' upgrade file, the same for all controllers. Without it, the
+  // controllers take no part in cluster versions.
   std::optional<upgrade::UpgradeSettings> upgrades;
-  // Controllers that are processes of their own, reached by this; none is started in the simulated
-  // cluster.
-  std::function<void(int node, HttpRequest request, std::function<void(HttpReply)> done)> processes;
-  // The address at which a machine can be reached by such processes.
+  // Sends a request to a controller that runs as a process of its own. If it is set, no controller
+  // is started in the simulated cluster.
+  std::function<void(int node, HttpRequest request, std::function<void(HttpReply)> done)>
+      process_request;
+  // Returns the address at which these processes reach the worker of a machine.
   std::function<std::string(const std::string& machine)> worker_address;
 };
 
--- a/tests/standin/simulated_cluster.cc
+++ b/tests/standin/simulated_cluster.cc
@@ -9,9 +9,9 @@
 
 std::shared_ptr<TraceSink> trace_sink() {
   static auto sink = [] {
-    auto made = std::make_shared<TraceSink>();
-    spdlog::set_default_logger(std::make_shared<spdlog::logger>("test", made));
-    return made;
+    auto created = std::make_shared<TraceSink>();
+    spdlog::set_default_logger(std::make_shared<spdlog::logger>("test", created));
+    return created;
   }();
   return sink;
 }
@@ -19,14 +19,15 @@
 SimulatedCluster::SimulatedCluster(Options options)
     : options_(options),
       checker_(options.teams, options.cancel_s),
-      version_checker_([this](const std::string& what) { checker_.version_rule(now(), what); }),
+      version_checker_(
+          [this](const std::string& what) { checker_.on_version_violation(now(), what); }),
       random_(options.seed),
       state_store_(
           {[this] { return now_; },
            [this](Ms when, std::function<void()> callback) { schedule(when, std::move(callback)); },
            [this] { return chance(); }},
-          {options.state_write_rps, options.limits, options.changes_kept, options.value_kb,
-           options.txn_ops}) {
+          {options.state_write_rps, options.enforce_limits, options.retained_changes,
+           options.value_kb, options.txn_ops}) {
   trace_sink()->cluster = this;
   for (int i = 0; i < options_.nodes; ++i) {
     ControllerProcess process;
@@ -47,35 +48,37 @@
     settings.cancel_s = options_.cancel_s;
     settings.state_rps = options_.state_rps;
     settings.state_write_rps =
-        std::min(options_.state_write_rps, options_.next_write_rps.value_or(1e9));
-    settings.state_value_kb = std::min(options_.value_kb, options_.next_value_kb.value_or(1e9));
-    settings.state_txn_ops = std::min(options_.txn_ops, options_.next_txn_ops.value_or(1 << 20));
-    process.old = options_.old_nodes.count(i) > 0;
-    if (options_.upgrades && !process.old) settings.upgrade = *options_.upgrades;
+        std::min(options_.state_write_rps, options_.announced_write_rps.value_or(1e9));
+    settings.state_value_kb =
+        std::min(options_.value_kb, options_.announced_value_kb.value_or(1e9));
+    settings.state_txn_ops =
+        std::min(options_.txn_ops, options_.announced_txn_ops.value_or(1 << 20));
+    process.old_build = options_.old_build_nodes.count(i) > 0;
+    if (options_.upgrades && !process.old_build) settings.upgrade = *options_.upgrades;
     controllers_.push_back(std::move(process));
   }
   if (options_.upgrades) observe_versions();
-  for (int i = 0; i < options_.machines; ++i) add_worker(i % 2 ? "b" : "a", false, 0);
-  for (std::size_t i = 0; i < controllers_.size() && !options_.processes; ++i)
+  for (int i = 0; i < options_.initial_machines; ++i) add_worker(i % 2 ? "b" : "a", false, 0);
+  for (std::size_t i = 0; i < controllers_.size() && !options_.process_request; ++i)
     schedule(static_cast<Ms>(10 + 10 * i), [this, i] { start_node(i); });
-  schedule(kWorkerStep, [this] { tick_workers(); });
-  schedule(1000, [this] { look_for_room(); });
+  schedule(kWorkerTickMs, [this] { tick_workers(); });
+  schedule(1000, [this] { check_schedulable_jobs(); });
 }
 
 SimulatedCluster::~SimulatedCluster() {
   for (auto& process : controllers_)
-    if (process.runtime) process.runtime->die();
+    if (process.runtime) process.runtime->stop();
   trace_sink()->cluster = nullptr;
 }
 
-void SimulatedCluster::note(const std::string& line) {
-  char head[32];
-  std::snprintf(head, sizeof head, "%8.3f ", now());
-  trace_.push_back(head + line);
+void SimulatedCluster::append_trace(const std::string& line) {
+  char timestamp[32];
+  std::snprintf(timestamp, sizeof timestamp, "%8.3f ", now());
+  trace_.push_back(timestamp + line);
 }
 
 void SimulatedCluster::schedule(Ms when, std::function<void()> callback) {
-  events_[{std::max(when, now_), ++order_}] = std::move(callback);
+  events_[{std::max(when, now_), ++event_sequence_}] = std::move(callback);
 }
 
 void SimulatedCluster::at(double time_s, std::function<void()> callback) {
@@ -94,7 +97,7 @@
   now_ = end;
 }
 
-std::size_t SimulatedCluster::lines(const std::string& text) const {
+std::size_t SimulatedCluster::count_trace_lines(const std::string& text) const {
   return static_cast<std::size_t>(
       std::count_if(trace_.begin(), trace_.end(),
                     [&](const std::string& line) { return line.find(text) != std::string::npos; }));
--- a/tests/standin/simulated_cluster_network.cc
+++ b/tests/standin/simulated_cluster_network.cc
@@ -1,4 +1,4 @@
-// The network between controllers, services, machines and users, and its partitions.
+// The network between controllers, services, machines and users, and network partitions.
 #include <rapidjson/document.h>
 
 #include "standin/controller_runtime.h"
@@ -9,39 +9,43 @@
 using rapidjson::Document;
 
 Ms SimulatedCluster::latency() {
-  return 1 + static_cast<Ms>(random_() % static_cast<std::uint64_t>(options_.latency_ms));
+  return 1 + static_cast<Ms>(random_() % static_cast<std::uint64_t>(options_.max_latency_ms));
 }
 
-const CutMode* SimulatedCluster::cut_between(const std::string& a, const std::string& b) const {
+const NetworkPartitionMode* SimulatedCluster::partition_mode_between(const std::string& a,
+                                                                     const std::string& b) const {
   auto contains = [](const std::set<std::string>& names, const std::string& name) {
     return names.count("*") > 0 || names.count(name) > 0;
   };
-  for (const auto& cut : cuts_)
-    if ((contains(cut.a, a) && contains(cut.b, b)) || (contains(cut.a, b) && contains(cut.b, a)))
-      return &cut.mode;
+  for (const auto& partition : network_partitions_)
+    if ((contains(partition.a, a) && contains(partition.b, b)) ||
+        (contains(partition.a, b) && contains(partition.b, a)))
+      return &partition.mode;
   return nullptr;
 }
 
 void SimulatedCluster::deliver(const std::string& from, const std::string& to,
                                std::function<void()> callback, std::function<void()> reset) {
-  if (deaf_.count(to) > 0) return;
-  const CutMode* cut = cut_between(from, to);
-  if (!cut) return schedule(now_ + latency(), std::move(callback));
-  if (*cut == CutMode::hold) return held_.push_back({from, to, std::move(callback)});
+  if (inbound_blocked_.count(to) > 0) return;
+  const NetworkPartitionMode* mode = partition_mode_between(from, to);
+  if (!mode) return schedule(now_ + latency(), std::move(callback));
+  if (*mode == NetworkPartitionMode::hold)
+    return held_messages_.push_back({from, to, std::move(callback)});
   schedule(now_ + 1, std::move(reset));
 }
 
-void SimulatedCluster::cut(std::set<std::string> a, std::set<std::string> b, CutMode mode) {
-  note("world cut");
-  cuts_.push_back({std::move(a), std::move(b), mode});
+void SimulatedCluster::partition_network(std::set<std::string> a, std::set<std::string> b,
+                                         NetworkPartitionMode mode) {
+  append_trace("world cut");
+  network_partitions_.push_back({std::move(a), std::move(b), mode});
 }
 
-// What was held now arrives, in order, however late.
-void SimulatedCluster::heal() {
-  note("world healed");
-  cuts_.clear();
-  auto held = std::move(held_);
-  held_.clear();
+// Schedules the held messages for delivery, each after a new random latency.
+void SimulatedCluster::heal_network() {
+  append_trace("world healed");
+  network_partitions_.clear();
+  auto held = std::move(held_messages_);
+  held_messages_.clear();
   for (auto& message : held) schedule(now_ + latency(), std::move(message.deliver));
 }
 
@@ -54,73 +58,76 @@
   };
   schedule(now_ + request.timeout, [finish] { finish({}); });
   const std::string to = request.addr;
-  if (mute_.count(from) > 0) return;
+  if (outbound_requests_blocked_.count(from) > 0) return;
   auto reset = [finish] { finish({}); };
   deliver(
       from, to,
       [this, from, to, request, finish, reset] {
-        Done back = [this, from, to, finish, reset](HttpReply reply) {
+        Done reply_to_sender = [this, from, to, finish, reset](HttpReply reply) {
           deliver(
               to, from, [finish, reply] { finish(reply); }, reset);
         };
-        arrive(from, to, request, std::move(back));
+        handle_request(from, to, request, std::move(reply_to_sender));
       },
       reset);
 }
 
-void SimulatedCluster::arrive(const std::string& from, const std::string& to,
-                              const HttpRequest& request, Done back) {
-  if (to == "state") return state_store_.serve(from, request, std::move(back));
-  if (to == "cloud") return serve_cloud(request, std::move(back));
+void SimulatedCluster::handle_request(const std::string& from, const std::string& to,
+                                      const HttpRequest& request, Done reply_to_sender) {
+  if (to == "state") return state_store_.serve(from, request, std::move(reply_to_sender));
+  if (to == "cloud") return serve_cloud(request, std::move(reply_to_sender));
   for (std::size_t i = 0; i < controllers_.size(); ++i)
-    if (controllers_[i].name == to) return arrive_at_node(i, from, request, std::move(back));
+    if (controllers_[i].name == to)
+      return handle_node_request(i, from, request, std::move(reply_to_sender));
   for (auto& [id, worker] : workers_)
     if (worker->addr == to) {
-      if (request.path == "/commands" && late_commands_.share > 0 &&
-          chance() < late_commands_.share)
-        return hold_command(*worker, request);
-      return serve_worker(*worker, request, std::move(back));
+      if (request.path == "/commands" && command_delays_.fraction > 0 &&
+          chance() < command_delays_.fraction)
+        return delay_command(*worker, request);
+      return serve_worker(*worker, request, std::move(reply_to_sender));
     }
 }
 
-void SimulatedCluster::arrive_at_node(std::size_t i, const std::string& from,
-                                      const HttpRequest& request, Done back) {
-  if (options_.processes) return options_.processes(static_cast<int>(i), request, std::move(back));
-  when_awake(i, [this, i, from, request, back] {
+void SimulatedCluster::handle_node_request(std::size_t i, const std::string& from,
+                                           const HttpRequest& request, Done reply_to_sender) {
+  if (options_.process_request)
+    return options_.process_request(static_cast<int>(i), request, std::move(reply_to_sender));
+  run_when_unfrozen(i, [this, i, from, request, reply_to_sender] {
     ControllerProcess& process = controllers_[i];
-    if (!process.up) return back({});
+    if (!process.up) return reply_to_sender({});
     trace_sink()->node = process.name;
     process.node->request(request.method, request.path,
-                          process.old ? as_old_build_reads(request.body) : request.body,
-                          [this, i, from, request, back](int status, std::string body) {
+                          process.old_build ? as_old_build_reads(request.body) : request.body,
+                          [this, i, from, request, reply_to_sender](int status, std::string body) {
                             for (auto at = body.find("\"launch\""); at != std::string::npos;
                                  at = body.find("\"launch\"", at + 1))
-                              ++launches_[from];
+                              ++launch_commands_[from];
                             if (request.path == "/v1/report" && status == 200) {
                               ++heartbeats_accepted_[static_cast<int>(i)];
-                              check_may_act(*controllers_[i].node, request.body);
+                              check_lease_of_responder(*controllers_[i].node, request.body);
                             }
-                            back({status, body});
+                            reply_to_sender({status, body});
                           });
   });
 }
 
-// Held up on its way: it is carried out once, late, and nobody hears of it.
-void SimulatedCluster::hold_command(Worker& worker, const HttpRequest& request) {
-  ++commands_late_;
-  schedule(now_ + late_commands_.delay(chance()),
+// Delivers the command once, after a delay, and drops its reply.
+void SimulatedCluster::delay_command(Worker& worker, const HttpRequest& request) {
+  ++delayed_commands_;
+  schedule(now_ + command_delays_.delay_ms(chance()),
            [this, &worker, request] { serve_worker(worker, request, [](HttpReply) {}); });
 }
 
-// Invariant 6: a heartbeat is answered with 200 only by a leader whose lease is alive, or who has
-// the votes of all peers.
-void SimulatedCluster::check_may_act(const Controller& node, const std::string& heartbeat) {
+// Invariant 6: a heartbeat is answered with 200 only by a leader that has a valid lease or the
+// votes of all peers.
+void SimulatedCluster::check_lease_of_responder(const Controller& node,
+                                                const std::string& heartbeat) {
   Document document;
   document.Parse(heartbeat.c_str());
   const std::string machine = document["host"].GetString();
   for (const auto& [partition, core] : node.partition_leader().partitions())
     if (core->has_machine(machine) && !node.partition_leader().acting(partition))
-      checker_.answered_without_lease(now(), node.settings().node + " answers " + machine);
+      checker_.on_reply_without_lease(now(), node.settings().node + " answers " + machine);
 }
 
 }  // namespace eiderreel::standin
--- a/tests/standin/simulated_cluster_users.cc
+++ b/tests/standin/simulated_cluster_users.cc
@@ -1,4 +1,4 @@
-// Users: they submit, ask, repeat and call off.
+// Users: they submit, poll, resubmit and cancel jobs.
 #include <rapidjson/document.h>
 
 #include "standin/simulated_cluster.h"
@@ -40,89 +40,94 @@
   return next_node_;
 }
 
-void SimulatedCluster::raw(int node, const std::string& method, const std::string& path,
-                           const std::string& body, std::function<void(int, std::string)> done) {
+void SimulatedCluster::send_request(int node, const std::string& method, const std::string& path,
+                                    const std::string& body,
+                                    std::function<void(int, std::string)> done) {
   call("user", {"n" + std::to_string(node), method, path, body, 5000},
        [done = std::move(done)](HttpReply reply) { done(reply.status, reply.body); });
 }
 
 void SimulatedCluster::submit(const JobSpec& spec) {
   specs_[spec.id] = spec;
-  checker_.submitted(spec);
+  checker_.on_submission(spec);
   try_submit(spec, now() + 60);
 }
 
-void SimulatedCluster::submit_chained(const JobSpec& spec) {
+void SimulatedCluster::submit_after_prerequisites(const JobSpec& spec) {
   const bool accepted = std::all_of(spec.prerequisites.begin(), spec.prerequisites.end(),
                                     [&](const std::string& id) { return !phase(id).empty(); });
   if (accepted) return submit(spec);
-  at(now() + 0.05, [this, spec] { submit_chained(spec); });
+  at(now() + 0.05, [this, spec] { submit_after_prerequisites(spec); });
 }
 
-void SimulatedCluster::repeat(int node, const JobSpec& spec) {
-  raw(node, "POST", "/v1/jobs", submission_text(spec),
-      [this, id = spec.id](int status, const std::string& body) {
-        checker_.submit_answer(now(), id, status);
-        if (status != 200 && status != 201) return;
-        Document document;
-        document.Parse(body.c_str());
-        checker_.phase_answered(now(), id, document["phase"].GetString());
-      });
+void SimulatedCluster::resubmit(int node, const JobSpec& spec) {
+  send_request(node, "POST", "/v1/jobs", submission_text(spec),
+               [this, id = spec.id](int status, const std::string& body) {
+                 checker_.on_submit_reply(now(), id, status);
+                 if (status != 200 && status != 201) return;
+                 Document document;
+                 document.Parse(body.c_str());
+                 checker_.on_phase_reply(now(), id, document["phase"].GetString());
+               });
 }
 
 void SimulatedCluster::submit_invalid(int node, const std::string& body) {
-  raw(node, "POST", "/v1/jobs", body, [this, body](int status, const std::string&) {
-    ++invalid_answers_[status];
-    checker_.invalid_answer(now(), body, status);
+  send_request(node, "POST", "/v1/jobs", body, [this, body](int status, const std::string&) {
+    ++invalid_submission_replies_[status];
+    checker_.on_invalid_submission_reply(now(), body, status);
   });
 }
 
-void SimulatedCluster::try_submit(const JobSpec& spec, double until) {
-  raw(pick_node(), "POST", "/v1/jobs", submission_text(spec),
-      [this, spec, until, began = now()](int status, const std::string&) {
-        checker_.submit_answer(now(), spec.id, status);
-        if (status == 200 || status == 201) {
-          note("user " + spec.id + " accepted");
-          slowest_acceptance_ = std::max(slowest_acceptance_, now() - began);
-          last_phases_[spec.id] = "queued";
-          return poll_loop(spec.id);
-        }
-        if (status == 400 || status == 422) return note("user " + spec.id + " refused");
-        if (now() < until) at(now() + 1, [this, spec, until] { try_submit(spec, until); });
-      });
+void SimulatedCluster::try_submit(const JobSpec& spec, double retry_until_s) {
+  send_request(pick_node(), "POST", "/v1/jobs", submission_text(spec),
+               [this, spec, retry_until_s, submitted_at_s = now()](int status, const std::string&) {
+                 checker_.on_submit_reply(now(), spec.id, status);
+                 if (status == 200 || status == 201) {
+                   append_trace("user " + spec.id + " accepted");
+                   max_acceptance_s_ = std::max(max_acceptance_s_, now() - submitted_at_s);
+                   reported_phases_[spec.id] = "queued";
+                   return poll_loop(spec.id);
+                 }
+                 if (status == 400 || status == 422)
+                   return append_trace("user " + spec.id + " refused");
+                 if (now() < retry_until_s)
+                   at(now() + 1, [this, spec, retry_until_s] { try_submit(spec, retry_until_s); });
+               });
 }
 
 void SimulatedCluster::poll_once(int node, const std::string& id,
                                  std::function<void(int, std::string)> done) {
-  ++asking_[id];
-  raw(node, "GET", "/v1/jobs/" + id, "", [this, id, done](int status, const std::string& body) {
-    --asking_[id];
-    std::string phase;
-    if (status == 200) {
-      Document document;
-      document.Parse(body.c_str());
-      phase = document["phase"].GetString();
-    }
-    checker_.asked(now(), id, status == 200 || status == 404);
-    if (status == 200 || status == 404) checker_.phase_answered(now(), id, phase);
-    if (status == 200 && last_phases_[id] != phase) {
-      note("user " + id + " " + phase);
-      last_phases_[id] = phase;
-    }
-    done(status, phase);
-  });
-}
-
-// Between processes an answer may be overtaken by one to a later question. Users who have one
-// question of a job on its way at a time can tell which is newer; in simulated time they need not.
-bool SimulatedCluster::must_wait(const std::string& id) const {
-  const auto asking = asking_.find(id);
-  return options_.processes && asking != asking_.end() && asking->second > 0;
+  ++requests_in_flight_[id];
+  send_request(node, "GET", "/v1/jobs/" + id, "",
+               [this, id, done](int status, const std::string& body) {
+                 --requests_in_flight_[id];
+                 std::string phase;
+                 if (status == 200) {
+                   Document document;
+                   document.Parse(body.c_str());
+                   phase = document["phase"].GetString();
+                 }
+                 checker_.on_poll(now(), id, status == 200 || status == 404);
+                 if (status == 200 || status == 404) checker_.on_phase_reply(now(), id, phase);
+                 if (status == 200 && reported_phases_[id] != phase) {
+                   append_trace("user " + id + " " + phase);
+                   reported_phases_[id] = phase;
+                 }
+                 done(status, phase);
+               });
+}
+
+// Between real processes, replies may arrive out of order. To know which reply is newer, users have
+// only one request per job in flight. In simulated time this is not needed.
+bool SimulatedCluster::must_delay_request(const std::string& id) const {
+  const auto in_flight = requests_in_flight_.find(id);
+  return options_.process_request && in_flight != requests_in_flight_.end() &&
+         in_flight->second > 0;
 }
 
 void SimulatedCluster::poll_loop(const std::string& id) {
   at(now() + 2, [this, id] {
-    if (must_wait(id)) return poll_loop(id);
+    if (must_delay_request(id)) return poll_loop(id);
     poll_once(pick_node(), id, [this, id](int, const std::string& phase) {
       if (phase != "done" && phase != "cancelled") poll_loop(id);
     });
@@ -130,17 +135,18 @@
 }
 
 void SimulatedCluster::cancel(const std::string& id) {
-  checker_.cancel_asked(id);
+  checker_.on_cancel_request(id);
   try_cancel(id, 60);
 }
 
-SimulatedCluster::Confirmed SimulatedCluster::confirmed(const std::string& id) const {
-  auto it = confirmed_.find(id);
-  return it == confirmed_.end() ? Confirmed{} : it->second;
+SimulatedCluster::CancelConfirmation SimulatedCluster::cancel_confirmation(
+    const std::string& id) const {
+  auto it = cancel_confirmations_.find(id);
+  return it == cancel_confirmations_.end() ? CancelConfirmation{} : it->second;
 }
 
 void SimulatedCluster::cancel_at(int node, const std::string& id) {
-  checker_.cancel_asked(id);
+  checker_.on_cancel_request(id);
   try_cancel_at(node, id, 60);
 }
 
@@ -149,27 +155,28 @@
 }
 
 void SimulatedCluster::try_cancel_at(int node, const std::string& id, int n) {
-  if (must_wait(id)) return at(now() + 0.05, [this, node, id, n] { try_cancel_at(node, id, n); });
-  ++asking_[id];
-  raw(node, "POST", "/v1/jobs/" + id + "/cancel", "",
-      [this, id, n, node](int status, const std::string& body) {
-        --asking_[id];
-        if (status == 200) {
-          Document document;
-          document.Parse(body.c_str());
-          checker_.phase_answered(now(), id, document["phase"].GetString());
-          note("user " + id + " cancel says " + document["phase"].GetString());
-          confirmed_.try_emplace(id, Confirmed{node, now()});
-          last_phases_[id] = document["phase"].GetString();
-        } else if (n > 0) {
-          at(now() + 1, [this, id, n] { try_cancel(id, n - 1); });
-        }
-      });
+  if (must_delay_request(id))
+    return at(now() + 0.05, [this, node, id, n] { try_cancel_at(node, id, n); });
+  ++requests_in_flight_[id];
+  send_request(node, "POST", "/v1/jobs/" + id + "/cancel", "",
+               [this, id, n, node](int status, const std::string& body) {
+                 --requests_in_flight_[id];
+                 if (status == 200) {
+                   Document document;
+                   document.Parse(body.c_str());
+                   checker_.on_phase_reply(now(), id, document["phase"].GetString());
+                   append_trace("user " + id + " cancel says " + document["phase"].GetString());
+                   cancel_confirmations_.try_emplace(id, CancelConfirmation{node, now()});
+                   reported_phases_[id] = document["phase"].GetString();
+                 } else if (n > 0) {
+                   at(now() + 1, [this, id, n] { try_cancel(id, n - 1); });
+                 }
+               });
 }
 
 std::string SimulatedCluster::phase(const std::string& id) const {
-  auto it = last_phases_.find(id);
-  return it == last_phases_.end() ? "" : it->second;
+  auto it = reported_phases_.find(id);
+  return it == reported_phases_.end() ? "" : it->second;
 }
 
 }  // namespace eiderreel::standin
--- a/tests/standin/simulated_cluster_workers.cc
+++ b/tests/standin/simulated_cluster_workers.cc
@@ -1,4 +1,4 @@
-// Machines and their workers: heartbeats, commands, leases, and the faults they can have.
+// Machines and their workers: heartbeats, commands, leases, and faults of machines.
 #include <rapidjson/document.h>
 
 #include "standin/machine_model.h"
@@ -8,59 +8,61 @@
 
 using rapidjson::Document;
 
-// From the moment at which it has its image until it ends, also while it saves.
-bool SimulatedCluster::on_machine(const Task& task) {
+// A task holds resources from the end of its image download until it exits, also while it saves a
+// checkpoint.
+bool SimulatedCluster::holds_resources(const Task& task) {
   return task.phase == "running" || task.phase == "flushing";
 }
 
-void SimulatedCluster::lose(Worker& worker, const char* why) {
-  note(worker.id + " is " + why);
+void SimulatedCluster::remove_machine(Worker& worker, const char* why) {
+  append_trace(worker.id + " is " + why);
   for (auto& [key, task] : worker.tasks)
-    if (on_machine(task)) checker_.task_off(worker.id, key.first, key.second);
+    if (holds_resources(task)) checker_.on_task_stopped(worker.id, key.first, key.second);
   worker.tasks.clear();
-  worker.gone = true;
+  worker.removed = true;
   worker.up = false;
 }
 
 void SimulatedCluster::kill_machine(const std::string& id) {
   Worker& worker = *workers_.at(id);
-  lose(worker, "dead");
-  worker.gone = false;  // listed for a while
+  remove_machine(worker, "dead");
+  worker.removed = false;  // still in the machine list of the cloud
   worker.stopped = true;
 }
 
-void SimulatedCluster::take_machine(const std::string& id, double notice_s) {
+void SimulatedCluster::reclaim_machine(const std::string& id, double notice_s) {
   Worker& worker = *workers_.at(id);
-  worker.taken_at = now() + notice_s;
-  worker.changed = true;
-  if (notice_s <= 0) lose(worker, "taken");
+  worker.reclaimed_at_s = now() + notice_s;
+  worker.report_due = true;
+  if (notice_s <= 0) remove_machine(worker, "taken");
 }
 
 void SimulatedCluster::freeze_machine(const std::string& id, bool on) {
-  note(id + (on ? " hangs" : " goes on"));
+  append_trace(id + (on ? " hangs" : " goes on"));
   Worker& worker = *workers_.at(id);
   worker.frozen = on;
   if (on) return;
-  // Beyond its lease it has killed all it had before it reads what came meanwhile.
-  if (worker.up && now_ - worker.lease_from > static_cast<Ms>(options_.lease_s * 1000))
-    end_lease(worker);
-  for (auto& read : std::exchange(worker.unread, {})) read();
+  // If the lease expired meanwhile, the worker kills its tasks before it handles the deferred
+  // commands.
+  if (worker.up && now_ - worker.lease_start > static_cast<Ms>(options_.lease_s * 1000))
+    expire_worker_lease(worker);
+  for (auto& read : std::exchange(worker.deferred_commands, {})) read();
 }
 
-void SimulatedCluster::mute(const std::string& id, bool on) {
-  note(id + (on ? " reaches no controller" : " reaches controllers again"));
+void SimulatedCluster::block_outbound_requests(const std::string& id, bool on) {
+  append_trace(id + (on ? " reaches no controller" : " reaches controllers again"));
   if (on)
-    mute_.insert(workers_.at(id)->addr);
+    outbound_requests_blocked_.insert(workers_.at(id)->addr);
   else
-    mute_.erase(workers_.at(id)->addr);
+    outbound_requests_blocked_.erase(workers_.at(id)->addr);
 }
 
-void SimulatedCluster::deafen(const std::string& id, bool on) {
-  note(id + (on ? " does not hear" : " hears again"));
+void SimulatedCluster::block_inbound(const std::string& id, bool on) {
+  append_trace(id + (on ? " does not hear" : " hears again"));
   if (on)
-    deaf_.insert(workers_.at(id)->addr);
+    inbound_blocked_.insert(workers_.at(id)->addr);
   else
-    deaf_.erase(workers_.at(id)->addr);
+    inbound_blocked_.erase(workers_.at(id)->addr);
 }
 
 std::size_t SimulatedCluster::heartbeats_accepted(int node) const {
@@ -69,127 +71,131 @@
 }
 
 std::size_t SimulatedCluster::launches_to(const std::string& machine) const {
-  auto it = launches_.find(workers_.at(machine)->addr);
-  return it == launches_.end() ? 0 : it->second;
+  auto it = launch_commands_.find(workers_.at(machine)->addr);
+  return it == launch_commands_.end() ? 0 : it->second;
 }
 
-void SimulatedCluster::set_sick(const std::string& id, bool on) { workers_.at(id)->sick = on; }
+void SimulatedCluster::set_machine_faulty(const std::string& id, bool on) {
+  workers_.at(id)->faulty = on;
+}
 
 void SimulatedCluster::end_task(Worker& worker, const TaskKey& key, Task& task,
                                 const std::string& exit_reason) {
-  if (on_machine(task)) checker_.task_off(worker.id, key.first, key.second);
+  if (holds_resources(task)) checker_.on_task_stopped(worker.id, key.first, key.second);
   task.phase = "exited";
   task.exit_reason = exit_reason;
-  worker.changed = true;
+  worker.report_due = true;
 }
 
-// A running task with checkpoints saves first if it is given the time, unless told again without
-// any.
+// A running task with checkpoints saves one first if the grace period is long enough. A second kill
+// without a grace period ends the task at once.
 void SimulatedCluster::kill_task(Worker& worker, const TaskKey& key, Task& task, double grace_s) {
   const JobSpec& spec = specs_[key.first];
   if (task.phase == "exited") return;
-  const bool enough = spec.checkpoint_s > 0 && grace_s > 0 && grace_s >= spec.save_s;
-  if (enough && task.phase == "flushing") return;
-  if (!enough || task.phase != "running") return end_task(worker, key, task, "stopped");
-  note(worker.id + " saves " + key.first + "/" + std::to_string(key.second));
+  const bool can_save = spec.checkpoint_s > 0 && grace_s > 0 && grace_s >= spec.save_s;
+  if (can_save && task.phase == "flushing") return;
+  if (!can_save || task.phase != "running") return end_task(worker, key, task, "stopped");
+  append_trace(worker.id + " saves " + key.first + "/" + std::to_string(key.second));
   task.phase = "flushing";
-  task.left_s = spec.save_s;
-  worker.changed = true;
+  task.remaining_s = spec.save_s;
+  worker.report_due = true;
 }
 
-void SimulatedCluster::end_lease(Worker& worker) {
-  if (!worker.tasks.empty()) note(worker.id + " lease expired");
+void SimulatedCluster::expire_worker_lease(Worker& worker) {
+  if (!worker.tasks.empty()) append_trace(worker.id + " lease expired");
   for (auto& [key, task] : worker.tasks)
-    if (on_machine(task)) checker_.task_off(worker.id, key.first, key.second);
+    if (holds_resources(task)) checker_.on_task_stopped(worker.id, key.first, key.second);
   worker.tasks.clear();
   ++worker.incarnation;
-  worker.lease_from = now_;
-  worker.changed = true;
+  worker.lease_start = now_;
+  worker.report_due = true;
 }
 
-void SimulatedCluster::faults_over() { checker_.faults_over(now()); }
+void SimulatedCluster::mark_faults_ended() { checker_.on_faults_ended(now()); }
 
-// Which jobs wait though a machine of any partition has room for their next task.
-void SimulatedCluster::look_for_room() {
-  schedule(now_ + 1000, [this] { look_for_room(); });
+// Reports to the rule checker which jobs wait although a machine of any partition has room for a
+// task.
+void SimulatedCluster::check_schedulable_jobs() {
+  schedule(now_ + 1000, [this] { check_schedulable_jobs(); });
   std::map<std::string, double> team_cpus;
-  std::map<std::string, std::size_t> begun;
+  std::map<std::string, std::size_t> started_tasks;
   for (const auto& [id, worker] : workers_)
     for (const auto& [key, task] : worker->tasks) {
       if (task.phase != "exited") team_cpus[specs_[key.first].team] += specs_[key.first].cpus;
-      ++begun[key.first];
+      ++started_tasks[key.first];
     }
   for (const auto& [id, spec] : specs_) {
-    const std::string told = phase(id);
-    bool could = false;
-    double most = 0;
+    const std::string reported_phase = phase(id);
+    bool has_room = false;
+    double quota_cpus = 0;
     for (const auto& team : options_.teams)
-      if (team.name == spec.team) most = team.quota_cpus;
-    if ((told == "queued" || told == "running") && !failing_jobs_.count(id) && begun[id] == 0 &&
-        team_cpus[spec.team] + spec.cpus <= most)
+      if (team.name == spec.team) quota_cpus = team.quota_cpus;
+    if ((reported_phase == "queued" || reported_phase == "running") && !failing_jobs_.count(id) &&
+        started_tasks[id] == 0 && team_cpus[spec.team] + spec.cpus <= quota_cpus)
       for (const auto& [name, worker] : workers_) {
-        if (!worker->up || worker->frozen || worker->sick || worker->taken_at >= 0 ||
+        if (!worker->up || worker->frozen || worker->faulty || worker->reclaimed_at_s >= 0 ||
             (worker->spot && !spec.spot) || (!spec.zone.empty() && spec.zone != worker->zone))
           continue;
         double used = 0;
         for (const auto& [key, task] : worker->tasks)
           if (task.phase != "exited") used += specs_[key.first].cpus;
-        could |= used + spec.cpus <= kMachineCpus + 1e-9;
+        has_room |= used + spec.cpus <= kMachineCpus + 1e-9;
       }
-    checker_.could_run(now(), id, could);
+    checker_.on_schedulable(now(), id, has_room);
   }
 }
 
 void SimulatedCluster::tick_workers() {
-  schedule(now_ + kWorkerStep, [this] { tick_workers(); });
-  state_store_.end_leases();
-  checker_.look(now());
-  for (auto& [id, pw] : workers_) {
-    Worker& worker = *pw;
-    if (!worker.up && !worker.gone && !worker.stopped && now() >= worker.up_at) {
+  schedule(now_ + kWorkerTickMs, [this] { tick_workers(); });
+  state_store_.expire_leases();
+  checker_.check_timeouts(now());
+  for (auto& [id, worker_ptr] : workers_) {
+    Worker& worker = *worker_ptr;
+    if (!worker.up && !worker.removed && !worker.stopped && now() >= worker.boot_done_at_s) {
       worker.up = true;
-      worker.lease_from = now_;
+      worker.lease_start = now_;
       worker.next_heartbeat = now_ + static_cast<Ms>(random_() % 500);
     }
     if (!worker.up) continue;
-    // A hanging machine may go on within its lease; after it, its tasks are gone.
+    // A frozen worker keeps its tasks until its lease expires.
     if (worker.frozen) {
-      if (now_ - worker.lease_from > static_cast<Ms>(options_.lease_s * 1000) &&
+      if (now_ - worker.lease_start > static_cast<Ms>(options_.lease_s * 1000) &&
           !worker.tasks.empty())
-        end_lease(worker);
+        expire_worker_lease(worker);
       continue;
     }
-    if (worker.taken_at >= 0 && now() >= worker.taken_at) {
-      lose(worker, "taken");
+    if (worker.reclaimed_at_s >= 0 && now() >= worker.reclaimed_at_s) {
+      remove_machine(worker, "taken");
       continue;
     }
-    if (now_ - worker.lease_from > static_cast<Ms>(options_.lease_s * 1000)) end_lease(worker);
+    if (now_ - worker.lease_start > static_cast<Ms>(options_.lease_s * 1000))
+      expire_worker_lease(worker);
     for (auto& [key, task] : worker.tasks) {
       if (task.phase == "exited") continue;
-      task.left_s -= kWorkerStep / 1000.0;
-      if (task.left_s > 0) continue;
+      task.remaining_s -= kWorkerTickMs / 1000.0;
+      if (task.remaining_s > 0) continue;
       const JobSpec& spec = specs_[key.first];
       if (task.phase == "pulling") {
         worker.images.insert(spec.image);
         task.phase = "running";
-        task.left_s = worker.sick || failing_jobs_.count(key.first) ? 0.3
-                      : spec.kind == JobKind::service               ? 1e9
-                      : runs_.count(key.first) ? runs_[key.first].at(key.second)
-                                               : run_s_[key.first];
-        note(worker.id + " runs " + key.first + "/" + std::to_string(key.second));
-        checker_.task_on(now(), {worker.id, "box", worker.zone, worker.spot}, key.first,
-                         key.second);
-        worker.changed = true;
+        task.remaining_s = worker.faulty || failing_jobs_.count(key.first) ? 0.3
+                           : spec.kind == JobKind::service                 ? 1e9
+                           : task_run_s_.count(key.first) ? task_run_s_[key.first].at(key.second)
+                                                          : run_s_[key.first];
+        append_trace(worker.id + " runs " + key.first + "/" + std::to_string(key.second));
+        checker_.on_task_started(now(), {worker.id, "box", worker.zone, worker.spot}, key.first,
+                                 key.second);
+        worker.report_due = true;
       } else if (task.phase == "flushing") {
         end_task(worker, key, task, "stopped");
       } else {
-        const bool bad = worker.sick || failing_jobs_.count(key.first) > 0;
-        if (!bad) checker_.task_done(now(), key.first, key.second);
-        end_task(worker, key, task, bad ? "error" : "done");
+        const bool fails = worker.faulty || failing_jobs_.count(key.first) > 0;
+        if (!fails) checker_.on_task_done(now(), key.first, key.second);
+        end_task(worker, key, task, fails ? "error" : "done");
       }
     }
-    if (worker.in_flight) continue;
-    if (now_ >= worker.next_heartbeat || (worker.changed && now_ - worker.last_sent >= 500))
+    if (worker.heartbeat_in_flight) continue;
+    if (now_ >= worker.next_heartbeat || (worker.report_due && now_ - worker.last_heartbeat >= 500))
       send_heartbeat(worker);
   }
 }
@@ -203,46 +209,47 @@
               "\",\"try\":" + std::to_string(task.attempt) + ",\"phase\":\"" + task.phase + "\"" +
               (task.exit_reason.empty() ? "" : ",\"cause\":\"" + task.exit_reason + "\"") + "}");
   }
-  const std::string notice =
-      worker.taken_at >= 0 ? std::to_string(std::max(0.0, worker.taken_at - now())) : "null";
+  const std::string notice = worker.reclaimed_at_s >= 0
+                                 ? std::to_string(std::max(0.0, worker.reclaimed_at_s - now()))
+                                 : "null";
   return "{\"host\":\"" + worker.id + "\",\"endpoint\":\"" + worker.addr +
          "\",\"hull\":\"box\",\"berth\":\"" + worker.zone +
          "\",\"driftwood\":" + (worker.spot ? "true" : "false") +
          ",\"tenure\":" + std::to_string(worker.incarnation) +
          ",\"tick\":" + std::to_string(worker.sequence) +
-         ",\"epoch\":" + std::to_string(worker.epoch) + ",\"warning_s\":" + notice +
+         ",\"epoch\":" + std::to_string(worker.fencing_token) + ",\"warning_s\":" + notice +
          ",\"shards\":[" + tasks + "]}";
 }
 
 void SimulatedCluster::send_heartbeat(Worker& worker) {
-  worker.in_flight = true;
-  worker.changed = false;
-  worker.last_sent = now_;
+  worker.heartbeat_in_flight = true;
+  worker.report_due = false;
+  worker.last_heartbeat = now_;
   const double jitter = 0.75 + 0.5 * static_cast<double>(random_() % 1000) / 1000.0;
   worker.next_heartbeat = now_ + static_cast<Ms>(options_.heartbeat_interval_s * 1000 * jitter);
-  const std::uint64_t incarnation = worker.incarnation, flight = ++worker.flight;
+  const std::uint64_t incarnation = worker.incarnation, heartbeat_id = ++worker.heartbeat_id;
   const int node = worker.node;
   const Ms sent = now_;
   const std::string id = worker.id;
   const std::string body = heartbeat_body(worker);
-  if (copies_)
-    for (const double late_s : {2.0, options_.lease_s * 2.5})
-      schedule(now_ + static_cast<Ms>(late_s * 1000), [this, body] {
-        ++copies_sent_;
+  if (duplicate_heartbeats_)
+    for (const double delay_s : {2.0, options_.lease_s * 2.5})
+      schedule(now_ + static_cast<Ms>(delay_s * 1000), [this, body] {
+        ++duplicate_heartbeats_sent_;
         call("copy", {"n" + std::to_string(pick_node()), "POST", "/v1/report", body, 4000},
              [](HttpReply) {});
       });
   call(worker.addr, {"n" + std::to_string(node), "POST", "/v1/report", body, 4000},
-       [this, id, sent, incarnation, node, flight](HttpReply reply) {
+       [this, id, sent, incarnation, node, heartbeat_id](HttpReply reply) {
          Worker& sender = *workers_.at(id);
-         if (sender.gone || sender.stopped || sender.flight != flight) return;
-         sender.in_flight = false;
-         take_answer(sender, sent, incarnation, reply, node);
+         if (sender.removed || sender.stopped || sender.heartbeat_id != heartbeat_id) return;
+         sender.heartbeat_in_flight = false;
+         handle_heartbeat_reply(sender, sent, incarnation, reply, node);
        });
 }
 
-void SimulatedCluster::take_answer(Worker& worker, Ms sent, std::uint64_t incarnation,
-                                   const HttpReply& reply, int node) {
+void SimulatedCluster::handle_heartbeat_reply(Worker& worker, Ms sent, std::uint64_t incarnation,
+                                              const HttpReply& reply, int node) {
   if (worker.frozen) return;
   if (reply.status == 421 && reply.body.find("upstream") != std::string::npos) {
     Document document;
@@ -261,22 +268,23 @@
   }
   Document document;
   document.Parse(reply.body.c_str());
-  if (incarnation != worker.incarnation || document["epoch"].GetUint64() < worker.epoch) return;
-  worker.lease_from = sent;
-  raise_token(worker, document["epoch"].GetUint64());
-  obey(worker, reply.body);
+  if (incarnation != worker.incarnation || document["epoch"].GetUint64() < worker.fencing_token)
+    return;
+  worker.lease_start = sent;
+  raise_fencing_token(worker, document["epoch"].GetUint64());
+  apply_commands(worker, reply.body);
 }
 
-// A higher token is a change to be reported at once, but only once within half a lease.
-void SimulatedCluster::raise_token(Worker& worker, std::uint64_t token) {
-  if (token <= worker.epoch) return;
-  worker.epoch = token;
-  if (now_ - worker.token_change_at < static_cast<Ms>(options_.lease_s * 500)) return;
-  worker.token_change_at = now_;
-  worker.changed = true;
+// A higher fencing token triggers an immediate heartbeat, at most once per half a lease.
+void SimulatedCluster::raise_fencing_token(Worker& worker, std::uint64_t token) {
+  if (token <= worker.fencing_token) return;
+  worker.fencing_token = token;
+  if (now_ - worker.token_report_at < static_cast<Ms>(options_.lease_s * 500)) return;
+  worker.token_report_at = now_;
+  worker.report_due = true;
 }
 
-void SimulatedCluster::obey(Worker& worker, const std::string& body) {
+void SimulatedCluster::apply_commands(Worker& worker, const std::string& body) {
   Document document;
   document.Parse(body.c_str());
   for (const auto& command : document["orders"].GetArray()) {
@@ -288,20 +296,20 @@
     auto it = worker.tasks.find(key);
     if (type == "launch") {
       if (it != worker.tasks.end() && it->second.attempt == attempt) continue;
-      worker.changed = true;
+      worker.report_due = true;
       const JobSpec& spec = specs_[key.first];
       double used = 0;
       for (const auto& [other, task] : worker.tasks)
         if (task.phase != "exited") used += specs_[other.first].cpus;
       if (it != worker.tasks.end() && it->second.phase != "exited") {
-        note(worker.id + " refuses " + name + " busy");
+        append_trace(worker.id + " refuses " + name + " busy");
         continue;
       }
       const bool room = used + spec.cpus <= kMachineCpus + 1e-9;
-      if (!room) note(worker.id + " refuses " + name + " no_room");
+      if (!room) append_trace(worker.id + " refuses " + name + " no_room");
       const bool cached = worker.images.count(spec.image) > 0;
       worker.tasks[key] =
-          room ? Task{attempt, "pulling", "", cached ? 0.0 : spec.image_gb / kFetchGbPerS}
+          room ? Task{attempt, "pulling", "", cached ? 0.0 : spec.image_gb / kImageFetchGbPerS}
                : Task{attempt, "exited", "no_room", 0};
     } else if (it == worker.tasks.end() || it->second.attempt != attempt) {
       continue;
@@ -309,14 +317,14 @@
       kill_task(worker, key, it->second, command["mercy_s"].GetDouble());
     } else if (it->second.phase == "exited") {
       worker.tasks.erase(it);
-      worker.changed = true;
+      worker.report_due = true;
     }
   }
 }
 
 void SimulatedCluster::serve_worker(Worker& worker, const HttpRequest& request, Done done) {
   if (worker.up && worker.frozen) {
-    worker.unread.push_back(
+    worker.deferred_commands.push_back(
         [this, &worker, request, done] { serve_worker(worker, request, done); });
     return;
   }
@@ -324,11 +332,11 @@
   if (request.path == "/inspect") return done({200, heartbeat_body(worker)});
   Document document;
   document.Parse(request.body.c_str());
-  if (document["epoch"].GetUint64() < worker.epoch ||
+  if (document["epoch"].GetUint64() < worker.fencing_token ||
       document["tenure"].GetUint64() != worker.incarnation)
     return done({409, heartbeat_body(worker)});
-  raise_token(worker, document["epoch"].GetUint64());
-  obey(worker, request.body);
+  raise_fencing_token(worker, document["epoch"].GetUint64());
+  apply_commands(worker, request.body);
   done({200, heartbeat_body(worker)});
 }
 
@@ -349,7 +357,7 @@
 
 std::size_t SimulatedCluster::machines_up() const {
   std::size_t n = 0;
-  for (const auto& [id, worker] : workers_) n += worker->up && !worker->gone;
+  for (const auto& [id, worker] : workers_) n += worker->up && !worker->removed;
   return n;
 }
 
--- a/tests/standin/simulated_state_store.cc
+++ b/tests/standin/simulated_state_store.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Ms kOutageRetry = 500;  // ms; what is on its way in an outage is tried again this often
+constexpr Ms kOutageRetryMs = 500;  // retry interval of delayed commits during an outage
 
 std::string lease_text(std::uint64_t id) { return "{\"tether\":" + std::to_string(id) + "}"; }
 
@@ -22,16 +22,17 @@
 
 }  // namespace
 
-void SimulatedStateStore::serve(const std::string& from, const HttpRequest& request, Done answer) {
+void SimulatedStateStore::serve(const std::string& from, const HttpRequest& request,
+                                Done send_reply) {
   const std::string& path = request.path;
-  Done done = answer;
-  if (slowest_ > 0 && !has_prefix(path, "/follow"))
-    done = [this, answer](HttpReply reply) {
-      const double wait = environment_.chance() * static_cast<double>(slowest_);
-      environment_.at(environment_.now() + static_cast<Ms>(wait),
-                      [answer, reply] { answer(reply); });
+  Done done = send_reply;
+  if (max_latency_ > 0 && !has_prefix(path, "/follow"))
+    done = [this, send_reply](HttpReply reply) {
+      const double wait = environment_.chance() * static_cast<double>(max_latency_);
+      environment_.schedule_at(environment_.now() + static_cast<Ms>(wait),
+                               [send_reply, reply] { send_reply(reply); });
     };
-  if (is_down_for(from)) return done({503, error_text("outage")});
+  if (is_unavailable_to(from)) return done({503, error_text("outage")});
   if (path == "/commit") return serve_commit(request.body, done);
   if (path == "/grants") return serve_new_lease(request.body, done);
   if (has_prefix(path, "/grants/")) return serve_lease(request, done);
@@ -45,7 +46,7 @@
   return row == rows_.end() ? nullptr : &row->second.value;
 }
 
-std::size_t SimulatedStateStore::keys_under(const std::string& prefix) const {
+std::size_t SimulatedStateStore::count_keys(const std::string& prefix) const {
   return static_cast<std::size_t>(std::count_if(
       rows_.begin(), rows_.end(), [&](const auto& row) { return has_prefix(row.first, prefix); }));
 }
@@ -59,8 +60,8 @@
 
 void SimulatedStateStore::put(const std::string& key, const std::string& value) {
   ++revision_;
-  change(key, &value, 0);
-  wake_watches();
+  apply_change(key, &value, 0);
+  notify_watches();
 }
 
 void SimulatedStateStore::set_limits(double value_kb, int txn_ops, double write_rps) {
@@ -74,23 +75,23 @@
   outage_ = on;
   if (on) return;
   for (auto& [id, lease] : leases_)
-    lease.ends = environment_.now() + lease.life;  // every lease has its full time again
+    lease.expires_at = environment_.now() + lease.ttl;  // renew every lease in full
 }
 
-void SimulatedStateStore::set_refused(const std::string& node, bool on) {
+void SimulatedStateStore::set_unavailable_to(const std::string& node, bool on) {
   if (on)
-    refused_.insert(node);
+    unavailable_to_.insert(node);
   else
-    refused_.erase(node);
-  wake_watches();
+    unavailable_to_.erase(node);
+  notify_watches();
 }
 
 // ------------------------------------------------------------------------------- leases
 
-void SimulatedStateStore::end_leases() {
+void SimulatedStateStore::expire_leases() {
   if (outage_) return;
   for (auto it = leases_.begin(); it != leases_.end();) {
-    if (it->second.ends > environment_.now()) {
+    if (it->second.expires_at > environment_.now()) {
       ++it;
       continue;
     }
@@ -100,16 +101,16 @@
     std::vector<std::string> keys;
     for (const auto& [key, row] : rows_)
       if (row.lease == id) keys.push_back(key);
-    for (const auto& key : keys) change(key, nullptr, 0);
+    for (const auto& key : keys) apply_change(key, nullptr, 0);
   }
-  wake_watches();
+  notify_watches();
 }
 
 void SimulatedStateStore::serve_new_lease(const std::string& body, const Done& done) {
   Document document;
   document.Parse(body.c_str());
-  const Ms life = document["life_ms"].GetInt64();
-  leases_[++next_lease_] = {life, environment_.now() + life};
+  const Ms ttl = document["life_ms"].GetInt64();
+  leases_[++next_lease_] = {ttl, environment_.now() + ttl};
   done({200, lease_text(next_lease_)});
 }
 
@@ -117,16 +118,16 @@
   const std::uint64_t id = std::stoull(request.path.substr(8));
   auto lease = leases_.find(id);
   if (lease == leases_.end()) return done({404, "{}"});
-  const bool ends = request.method == "DELETE";
-  lease->second.ends = environment_.now() + (ends ? 0 : lease->second.life);
-  if (ends) end_leases();
+  const bool is_revoke = request.method == "DELETE";
+  lease->second.expires_at = environment_.now() + (is_revoke ? 0 : lease->second.ttl);
+  if (is_revoke) expire_leases();
   done({200, lease_text(id)});
 }
 
 // ------------------------------------------------------------------------- transactions
 
-void SimulatedStateStore::change(const std::string& key, const std::string* value,
-                                 std::uint64_t lease) {
+void SimulatedStateStore::apply_change(const std::string& key, const std::string* value,
+                                       std::uint64_t lease) {
   if (value)
     rows_[key] = {*value, revision_, lease};
   else
@@ -151,37 +152,37 @@
     return {409, "{\"failed\":[" + failed + "]," + revision_text(revision_) + "}"};
   ++revision_;
   for (const auto& write : document["writes"].GetArray())
-    if (observer_.written && write.HasMember("write"))
-      observer_.written(write["write"].GetString(), json_text(write["v"]));
+    if (observer_.on_write && write.HasMember("write"))
+      observer_.on_write(write["write"].GetString(), json_text(write["v"]));
   for (const auto& write : document["writes"].GetArray()) {
     if (write.HasMember("delete")) {
       const std::string key = write["delete"].GetString();
-      if (rows_.count(key)) change(key, nullptr, 0);
+      if (rows_.count(key)) apply_change(key, nullptr, 0);
     } else {
       const std::string value = json_text(write["v"]);
-      change(write["write"].GetString(), &value,
-             write.HasMember("tether") ? write["tether"].GetUint64() : 0);
+      apply_change(write["write"].GetString(), &value,
+                   write.HasMember("tether") ? write["tether"].GetUint64() : 0);
     }
   }
   HttpReply reply{200, "{" + revision_text(revision_) + "}"};
-  if (observer_.changed) observer_.changed();
-  wake_watches();
+  if (observer_.on_commit) observer_.on_commit();
+  notify_watches();
   return reply;
 }
 
-// An outage does not end what is on its way: it lands once the state store is back.
-void SimulatedStateStore::commit_later(Ms when, const std::string& body) {
-  environment_.at(when, [this, body] {
-    if (outage_) return commit_later(environment_.now() + kOutageRetry, body);
-    counters_.landed_late += commit(body).status == 200;
+// A delayed commit survives an outage: it is retried until the state store is available again.
+void SimulatedStateStore::commit_at(Ms when, const std::string& body) {
+  environment_.schedule_at(when, [this, body] {
+    if (outage_) return commit_at(environment_.now() + kOutageRetryMs, body);
+    counters_.delayed_commits += commit(body).status == 200;
   });
 }
 
 bool SimulatedStateStore::take_write_tokens(double writes) {
   const Ms now = environment_.now();
-  const double refill = static_cast<double>(now - refilled_) / 1000 * limits_.write_rps;
+  const double refill = static_cast<double>(now - tokens_refilled_at_) / 1000 * limits_.write_rps;
   write_tokens_ = std::min(limits_.write_rps, write_tokens_ + refill);
-  refilled_ = now;
+  tokens_refilled_at_ = now;
   if (limits_.enforced && write_tokens_ < writes) return false;
   write_tokens_ -= writes;
   return true;
@@ -191,8 +192,8 @@
   Document document;
   document.Parse(body.c_str());
   const auto& writes = document["writes"].GetArray();
-  const auto most = static_cast<std::size_t>(limits_.txn_ops);
-  if (writes.Size() > most || document["guards"].GetArray().Size() > 4 * most ||
+  const auto max_writes = static_cast<std::size_t>(limits_.txn_ops);
+  if (writes.Size() > max_writes || document["guards"].GetArray().Size() > 4 * max_writes ||
       body.size() > 65536)
     return true;
   return std::any_of(writes.begin(), writes.end(), [&](const auto& write) {
@@ -209,13 +210,13 @@
     return done({400, error_text("too large")});
   }
   if (!take_write_tokens(document["writes"].GetArray().Size())) {
-    ++counters_.over_limit;
+    ++counters_.rate_limited;
     return done({429, "{}"});
   }
   ++counters_.commits;
-  if (late_writes_.share > 0 && environment_.chance() < late_writes_.share) {
-    ++counters_.without_answer;
-    return commit_later(environment_.now() + late_writes_.delay(environment_.chance()), body);
+  if (commit_delays_.fraction > 0 && environment_.chance() < commit_delays_.fraction) {
+    ++counters_.without_reply;
+    return commit_at(environment_.now() + commit_delays_.delay_ms(environment_.chance()), body);
   }
   done(commit(body));
 }
@@ -235,10 +236,10 @@
   return {200, "{" + revision_text(revision_) + ",\"events\":[" + events + "]}"};
 }
 
-void SimulatedStateStore::wake_watches() {
+void SimulatedStateStore::notify_watches() {
   std::erase_if(watches_, [](const auto& watch) { return watch->answered; });
   for (auto& watch : std::vector(watches_)) {
-    if (is_down_for(watch->from)) continue;
+    if (is_unavailable_to(watch->from)) continue;
     HttpReply reply = changes_since(watch->prefix, watch->since);
     if (reply.status == 0) continue;
     watch->answered = true;
@@ -253,16 +254,16 @@
   watch->prefix = query_parameter(path, "prefix");
   watch->since = std::stoull(query_parameter(path, "since"));
   watch->reply = done;
-  if (changes_.size() > limits_.changes_kept &&
-      changes_[changes_.size() - limits_.changes_kept].revision > watch->since + 1)
+  if (changes_.size() > limits_.retained_changes &&
+      changes_[changes_.size() - limits_.retained_changes].revision > watch->since + 1)
     return done({410, "{}"});
   if (HttpReply reply = changes_since(watch->prefix, watch->since); reply.status)
     return done(reply);
   watches_.push_back(watch);
   const Ms wait = std::stoll(query_parameter(path, "wait_ms"));
-  environment_.at(environment_.now() + wait, [this, watch] {
-    // In an outage, and while one node is refused, open watches stay open.
-    if (watch->answered || is_down_for(watch->from)) return;
+  environment_.schedule_at(environment_.now() + wait, [this, watch] {
+    // During an outage, or while the store is unavailable to this node, the watch stays open.
+    if (watch->answered || is_unavailable_to(watch->from)) return;
     watch->answered = true;
     watch->reply({200, "{" + revision_text(revision_) + ",\"events\":[]}"});
   });
--- a/tests/standin/simulated_state_store.h
+++ b/tests/standin/simulated_state_store.h
@@ -1,5 +1,5 @@
-// The state store of the simulated cluster: keys with revisions, leases, transactions and watches,
-// as the protocol has them, and the faults it can have.
+// The state store of the simulated cluster: keys with revisions, leases, transactions and watches
+// as in the protocol, and injected faults.
 #pragma once
 #include <functional>
 #include <map>
@@ -12,13 +12,13 @@
 
 namespace eiderreel::standin {
 
-// A share of the messages gets no answer and is carried out so much later, also after newer ones.
-// Soon: only the answer is lost.
-struct Delays {
-  double share = 0, least_s = 2, most_s = 12;
-  // How late one of them is, for a chance in [0, 1).
-  Ms delay(double chance) const {
-    return static_cast<Ms>((least_s + (most_s - least_s) * chance) * 1000);
+// A fraction of the messages gets no reply and takes effect after a delay, possibly after newer
+// messages. With a short delay, in effect only the reply is lost.
+struct DelayModel {
+  double fraction = 0, min_s = 2, max_s = 12;
+  // The delay of one message, for a random number in [0, 1).
+  Ms delay_ms(double chance) const {
+    return static_cast<Ms>((min_s + (max_s - min_s) * chance) * 1000);
   }
 };
 
@@ -27,49 +27,49 @@
   using Done = std::function<void(HttpReply)>;
   struct Environment {
     std::function<Ms()> now;
-    std::function<void(Ms, std::function<void()>)> at;
-    std::function<double()> chance;  // [0, 1)
+    std::function<void(Ms, std::function<void()>)> schedule_at;
+    std::function<double()> chance;  // random number in [0, 1)
   };
   struct Limits {
     double write_rps = 0;
     bool enforced = false;
-    std::size_t changes_kept = 0;  // for watches
+    std::size_t retained_changes = 0;  // length of the change history for watches
     double value_kb = 8;
     int txn_ops = 16;
   };
   struct Counters {
-    std::size_t commits = 0, over_limit = 0;
-    std::size_t landed_late = 0;     // transactions that were carried out late
-    std::size_t without_answer = 0;  // whether they landed or met newer ones
-    std::size_t too_large = 0;       // values or transactions over the limits
+    std::size_t commits = 0, rate_limited = 0;
+    std::size_t delayed_commits = 0;  // committed after a delay
+    std::size_t without_reply = 0;    // committed later or failed on a conflict
+    std::size_t too_large = 0;        // transactions over a size limit
   };
 
   SimulatedStateStore(Environment environment, Limits limits)
       : environment_(std::move(environment)), limits_(limits) {}
 
-  // Is told of every value before it is written, and of the end of each transaction.
+  // Callbacks for each value, before it is written, and for the end of each transaction.
   struct Observer {
-    std::function<void(const std::string& key, const std::string& value)> written;
-    std::function<void()> changed;
+    std::function<void(const std::string& key, const std::string& value)> on_write;
+    std::function<void()> on_commit;
   };
   void set_observer(Observer observer) { observer_ = std::move(observer); }
-  // Puts a value there that no controller has written.
+  // Writes a value on behalf of the test, outside of any transaction.
   void put(const std::string& key, const std::string& value);
 
-  // A request of a controller; `done` is called once, or never where an answer is lost.
+  // Serves a request of a controller. `done` is called once, or never if the reply is lost.
   void serve(const std::string& from, const HttpRequest& request, Done done);
-  // Ends the leases that are over; to be called now and then.
-  void end_leases();
-  // The value of a key, or nothing.
+  // Ends the leases whose TTL has passed and deletes their keys. Must be called periodically.
+  void expire_leases();
+  // The value of a key, or nullptr.
   const std::string* value(const std::string& key) const;
 
-  std::size_t keys_under(const std::string& prefix) const;
+  std::size_t count_keys(const std::string& prefix) const;
   std::vector<std::string> keys(const std::string& prefix) const;
   void set_limits(double value_kb, int txn_ops, double write_rps);
-  void set_outage(bool on);  // 503 for all
-  void set_refused(const std::string& node, bool on);
-  void set_late_writes(Delays delays) { late_writes_ = delays; }
-  void set_slowest(Ms most) { slowest_ = most; }
+  void set_outage(bool on);  // 503 for all nodes
+  void set_unavailable_to(const std::string& node, bool on);
+  void set_commit_delays(DelayModel delays) { commit_delays_ = delays; }
+  void set_max_latency(Ms latency) { max_latency_ = latency; }
   const Counters& counters() const { return counters_; }
 
  private:
@@ -83,7 +83,7 @@
     bool deleted;
   };
   struct Lease {
-    Ms life = 0, ends = 0;
+    Ms ttl = 0, expires_at = 0;
   };
   struct Watch {
     std::string from, prefix;
@@ -96,16 +96,18 @@
   void serve_new_lease(const std::string& body, const Done& done);
   void serve_lease(const HttpRequest& request, const Done& done);
   void serve_watch(const std::string& from, const std::string& path, const Done& done);
-  bool is_down_for(const std::string& node) const { return outage_ || refused_.count(node) > 0; }
+  bool is_unavailable_to(const std::string& node) const {
+    return outage_ || unavailable_to_.count(node) > 0;
+  }
   void serve_list(const std::string& path, const Done& done) const;
   void serve_read(const std::string& key, const Done& done) const;
   bool take_write_tokens(double writes);
   bool is_too_large(const std::string& body) const;
   HttpReply commit(const std::string& body);
-  void commit_later(Ms when, const std::string& body);
-  void change(const std::string& key, const std::string* value, std::uint64_t lease);
+  void commit_at(Ms when, const std::string& body);
+  void apply_change(const std::string& key, const std::string* value, std::uint64_t lease);
   HttpReply changes_since(const std::string& prefix, std::uint64_t since) const;
-  void wake_watches();
+  void notify_watches();
 
   Environment environment_;
   Observer observer_;
@@ -116,11 +118,11 @@
   std::vector<std::shared_ptr<Watch>> watches_;
   std::uint64_t revision_ = 0, next_lease_ = 0;
   bool outage_ = false;
-  std::set<std::string> refused_;
-  Delays late_writes_;
-  Ms slowest_ = 0;
+  std::set<std::string> unavailable_to_;
+  DelayModel commit_delays_;
+  Ms max_latency_ = 0;
   double write_tokens_ = 0;
-  Ms refilled_ = 0;
+  Ms tokens_refilled_at_ = 0;
   Counters counters_;
 };
 
--- a/tests/standin/text.h
+++ b/tests/standin/text.h
@@ -1,4 +1,4 @@
-// Small helpers for the bodies and paths of the simulated services.
+// Helpers for the JSON bodies and paths of the requests to simulated services.
 #pragma once
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
@@ -26,7 +26,7 @@
   return text.compare(0, prefix.size(), prefix) == 0;
 }
 
-// A parameter of the query part of a path; empty where it is missing.
+// The value of a query parameter of a path; empty if it is missing.
 inline std::string query_parameter(const std::string& path, const std::string& name) {
   auto begin = path.find('?');
   while (begin != std::string::npos) {
@@ -38,7 +38,8 @@
   return "";
 }
 
-// A submission as a user writes it; what its record holds beside the job is not part of it.
+// The body of a submission: the job and its prerequisites, without the other fields of a stored job
+// record.
 inline std::string submission_text(const JobSpec& spec) {
   JobSpec alone = spec;
   alone.prerequisites.clear();
--- a/tests/standin/version_checker.h
+++ b/tests/standin/version_checker.h
@@ -1,4 +1,4 @@
-// The rules of cluster versions, checked on every transaction that lands at the state store.
+// Checks the rules of cluster versions on every transaction that the state store commits.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -12,26 +12,27 @@
 class VersionChecker {
  public:
   using OnViolation = std::function<void(const std::string& what)>;
-  using Rows = std::function<const std::string*(const std::string& key)>;
-  explicit VersionChecker(OnViolation violated) : on_violation_(std::move(violated)) {}
+  using StateLookup = std::function<const std::string*(const std::string& key)>;
+  explicit VersionChecker(OnViolation on_violation) : on_violation_(std::move(on_violation)) {}
 
-  // A value has been written; `rows` looks keys up in the state as it was just before.
-  void written(const std::string& key, const std::string& value, const Rows& rows);
-  // All changes of a transaction, or the end of a lease, are done.
-  void look(const Rows& rows);
+  // A value is written; `lookup` reads the state from just before the write.
+  void on_write(const std::string& key, const std::string& value, const StateLookup& lookup);
+  // All changes of a transaction are applied.
+  void check_versions(const StateLookup& lookup);
 
-  std::size_t progress_written(bool compact) const { return progress_written_[compact]; }
-  // The versions in the order in which the cluster was at them.
+  std::size_t progress_writes(bool compact) const { return progress_writes_[compact]; }
+  // The cluster versions in the order in which they were written, starting with 1.
   const std::vector<std::uint64_t>& versions() const { return versions_; }
 
  private:
-  void take_record(const std::string& key, const std::string& value);
-  void check_writer(const std::string& key, const std::string& value, const Rows& rows);
+  void record_process(const std::string& key, const std::string& value);
+  void check_writer(const std::string& key, const std::string& value, const StateLookup& lookup);
 
   OnViolation on_violation_;
-  // Node and boot id of the processes that take part in cluster versions, by their records.
-  std::set<std::pair<std::string, std::string>> boots_;
-  std::size_t progress_written_[2] = {0, 0};
+  // Node and boot id of the processes whose node records show that they take part in cluster
+  // versions.
+  std::set<std::pair<std::string, std::string>> participants_;
+  std::size_t progress_writes_[2] = {0, 0};
   std::vector<std::uint64_t> versions_{1};
 };
 
--- a/tests/stored_state_resumed_test.cc
+++ b/tests/stored_state_resumed_test.cc
@@ -27,14 +27,14 @@
  public:
   ResumedDay() : UpgradeCluster(resumed_day_options()) {
     for (const auto& [key, value] : read_stored_values(kStoredValuesFile))
-      if (!has_prefix(key, "e/part/") && !has_prefix(key, "e/node/")) store(key, value);
+      if (!has_prefix(key, "e/part/") && !has_prefix(key, "e/node/")) put_stored_value(key, value);
     for (const auto& day : {jobs_of_first_day(), jobs_of_second_day()})
       for (const StoredJob& job : day) submit_again(job);
-    checker().submitted(done_job());
+    checker().on_submission(done_job());
     tell_done(done_job().id, {0, 1});
-    checker().submitted(cancelled_job());
-    checker().cancel_asked(cancelled_job().id);
-    checker().submitted(every_field_set());
+    checker().on_submission(cancelled_job());
+    checker().on_cancel_request(cancelled_job().id);
+    checker().on_submission(every_field_set());
   }
 
   const std::vector<StoredJob>& open_jobs() const { return open_; }
@@ -75,13 +75,13 @@
   void submit_again(const StoredJob& job) {
     const double run_s = is_last_prerequisite(job.spec.id) ? kPrerequisiteS : 1;
     set_run_s(job.spec.id, job.run_times(kNeverEndsS, run_s));
-    checker().submitted(job.spec);
+    checker().on_submission(job.spec);
     at(kSubmittedS, [this, spec = job.spec] { submit(spec); });
     tell_done(job.spec.id, job.done);
     open_.push_back(job);
   }
   void tell_done(const std::string& id, const std::vector<std::uint32_t>& tasks) {
-    for (const std::uint32_t task : tasks) checker().task_done(0, id, task);
+    for (const std::uint32_t task : tasks) checker().on_task_done(0, id, task);
   }
 
   std::vector<StoredJob> open_;
@@ -104,8 +104,8 @@
   std::vector<int> submissions, polls;  // statuses of their answers
   for (const StoredJob& job : cluster_.open_jobs()) {
     cluster_.at(kSubmittedS / 2, [&] {
-      cluster_.raw(0, "POST", "/v1/jobs", submission_text(job.spec),
-                   [&](int status, const std::string&) { submissions.push_back(status); });
+      cluster_.send_request(0, "POST", "/v1/jobs", submission_text(job.spec),
+                            [&](int status, const std::string&) { submissions.push_back(status); });
     });
     cluster_.at(kClaimedS, [&] {
       cluster_.poll_once(0, job.spec.id,
@@ -150,32 +150,32 @@
   EXPECT_EQ(cluster_.phase(cancelled_job().id), "cancelled");
   EXPECT_EQ(cluster_.phase(every_field_set().id), "cancelled");  // it was known, and fitted nowhere
   for (const char* prefix : {"e/job/", "e/awaits/", "d/"})
-    EXPECT_EQ(cluster_.keys_under(prefix), 0u);
+    EXPECT_EQ(cluster_.count_keys(prefix), 0u);
 }
 
 TEST_F(StoredStateResumed, MachinesKeepTheirPartitionsAndTheReleasedOneIsReturned) {
   cluster_.run_until(kClaimedS);
-  EXPECT_EQ(cluster_.machines_owned(), (std::map<std::string, int>{{machine(0), 0},
-                                                                   {machine(1), 1},
-                                                                   {machine(2), 0},
-                                                                   {machine(3), 1},
-                                                                   {machine(4), 0},
-                                                                   {machine(5), 1},
-                                                                   {machine(6), 2},
-                                                                   {machine(7), 0},
+  EXPECT_EQ(cluster_.machines_owned(), (std::map<std::string, int>{{machine_id(0), 0},
+                                                                   {machine_id(1), 1},
+                                                                   {machine_id(2), 0},
+                                                                   {machine_id(3), 1},
+                                                                   {machine_id(4), 0},
+                                                                   {machine_id(5), 1},
+                                                                   {machine_id(6), 2},
+                                                                   {machine_id(7), 0},
                                                                    {kSpotMachine, 1}}));
-  EXPECT_EQ(cluster_.lines(std::string(kReleasedMachine) + " is returned"), 1u);
-  EXPECT_EQ(cluster_.stored(codec::machine_key(kReleasedMachine)), nullptr);
+  EXPECT_EQ(cluster_.count_trace_lines(std::string(kReleasedMachine) + " is returned"), 1u);
+  EXPECT_EQ(cluster_.stored_value(codec::machine_key(kReleasedMachine)), nullptr);
   end_of_day();
-  EXPECT_EQ(cluster_.stored(codec::machine_key(kSpotMachine)), nullptr);  // it was gone
+  EXPECT_EQ(cluster_.stored_value(codec::machine_key(kSpotMachine)), nullptr);  // it was gone
 }
 
 TEST_F(StoredStateResumed, ControllersRunAtTheStoredClusterVersion) {
   end_of_day();
   for (int node = 0; node < 3; ++node) EXPECT_EQ(cluster_.acting(node), 2u);
   EXPECT_EQ(cluster_.cluster_version(), 2u);
-  EXPECT_EQ(cluster_.versions().progress_written(false), 0u);
-  EXPECT_GT(cluster_.versions().progress_written(true), 0u);
+  EXPECT_EQ(cluster_.version_checker().progress_writes(false), 0u);
+  EXPECT_GT(cluster_.version_checker().progress_writes(true), 0u);
 }
 
 }  // namespace
--- a/tests/stored_state_test.cc
+++ b/tests/stored_state_test.cc
@@ -175,9 +175,9 @@
 void expect_machines(StoredValueReader& stored) {
   const std::vector<int> partitions = {0, 1, 0, 1, 0, 1, 2, 0, -1};
   for (int n = 0; n < static_cast<int>(partitions.size()); ++n)
-    expect_machine(stored, machine(n),
+    expect_machine(stored, machine_id(n),
                    {partitions[static_cast<std::size_t>(n)], "box", n % 2 ? "b" : "a",
-                    address(machine(n)), false});
+                    worker_address(machine_id(n)), false});
   expect_machine(stored, kSpotMachine, spot_machine());
 }
 
--- a/tests/trace/fault_trace_test.cc
+++ b/tests/trace/fault_trace_test.cc
@@ -60,8 +60,8 @@
 TEST_F(FaultTrace, StateStoreOutage) {
   SimulatedCluster cluster({});
   usual_load(cluster, 5);
-  cluster.at(9, [&] { cluster.state_outage(true); });
-  cluster.at(24, [&] { cluster.state_outage(false); });
+  cluster.at(9, [&] { cluster.set_store_outage(true); });
+  cluster.at(24, [&] { cluster.set_store_outage(false); });
   cluster.run_until(70);
   expect_usual_load_ends(cluster);
   compare(cluster, "state_outage");
@@ -71,8 +71,8 @@
 TEST_F(FaultTrace, StateStoreRejectsOneController) {
   SimulatedCluster cluster({});
   usual_load(cluster, 5);
-  cluster.at(9, [&] { cluster.state_refuses(1, true); });
-  cluster.at(40, [&] { cluster.state_refuses(1, false); });
+  cluster.at(9, [&] { cluster.set_store_unavailable_to(1, true); });
+  cluster.at(40, [&] { cluster.set_store_unavailable_to(1, false); });
   cluster.run_until(80);
   expect_usual_load_ends(cluster);
   compare(cluster, "one_node_is_refused");
@@ -87,10 +87,10 @@
   cluster.at(9, [&] { cluster.crash(1, 8); });
   cluster.at(20, [&] {
     EXPECT_NE(cluster.leader_of(1), 1);
-    for (int n : {0, 2}) cluster.state_refuses(n, true);
+    for (int n : {0, 2}) cluster.set_store_unavailable_to(n, true);
   });
   cluster.at(22.5, [&] {
-    for (int n : {0, 2}) cluster.state_refuses(n, false);
+    for (int n : {0, 2}) cluster.set_store_unavailable_to(n, false);
   });
   cluster.run_until(60);
   EXPECT_EQ(cluster.leader_of(1), 1);
@@ -109,9 +109,9 @@
       if (cut || cluster.leader_of(1) >= 0) return;
       cut = true;
       cluster.at(cluster.now() + 0.25, [&] {
-        cluster.cut({"n0", "n2"}, {"state"}, CutMode::reset);
+        cluster.partition_network({"n0", "n2"}, {"state"}, NetworkPartitionMode::reset);
       });
-      cluster.at(cluster.now() + 2.75, [&] { cluster.heal(); });
+      cluster.at(cluster.now() + 2.75, [&] { cluster.heal_network(); });
     });
   cluster.run_until(30);
   EXPECT_NE(cluster.leader_of(1), -1);
@@ -135,7 +135,7 @@
   usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.freeze_machine(cluster.machines_of("run-101").at(0), true); });
   cluster.at(30, [&] {
-    for (int i = 0; i < 6; ++i) cluster.freeze_machine(machine(i), false);
+    for (int i = 0; i < 6; ++i) cluster.freeze_machine(machine_id(i), false);
   });
   cluster.run_until(70);
   expect_usual_load_ends(cluster);
@@ -144,7 +144,7 @@
 
 TEST_F(FaultTrace, MachineFailsEveryTask) {
   SimulatedCluster cluster({});
-  cluster.at(1, [&] { cluster.set_sick("m-000000", true); });
+  cluster.at(1, [&] { cluster.set_machine_faulty("m-000000", true); });
   usual_load(cluster, 5);
   cluster.run_until(70);
   expect_usual_load_ends(cluster);
@@ -154,7 +154,7 @@
 // A job that fails everywhere must neither condemn machines nor spin.
 TEST_F(FaultTrace, JobFailsOnEveryMachine) {
   SimulatedCluster cluster({});
-  cluster.set_failing("run-50");
+  cluster.set_job_failing("run-50");
   cluster.at(4, [&] { cluster.submit(cluster.job("run-50", "red", 4)); });
   usual_load(cluster, 8);
   cluster.at(60, [&] { cluster.cancel("run-50"); });
@@ -181,15 +181,15 @@
 
 TEST_F(FaultTrace, CloudHasNoCapacityIsDownAndBootsHang) {
   SimulatedCluster cluster({});
-  cluster.no_capacity(true);
+  cluster.set_no_cloud_capacity(true);
   cluster.at(5, [&] { cluster.submit(cluster.job("run-1", "red", 200, 1, 4)); });
-  cluster.at(20, [&] { cluster.cloud_outage(true); });
+  cluster.at(20, [&] { cluster.set_cloud_outage(true); });
   cluster.at(35, [&] {
-    cluster.cloud_outage(false);
-    cluster.no_capacity(false);
-    cluster.stuck_boots(true);
+    cluster.set_cloud_outage(false);
+    cluster.set_no_cloud_capacity(false);
+    cluster.set_machines_stuck_booting(true);
   });
-  cluster.at(60, [&] { cluster.stuck_boots(false); });
+  cluster.at(60, [&] { cluster.set_machines_stuck_booting(false); });
   cluster.run_until(140);
   EXPECT_EQ(cluster.phase("run-1"), "done");
   compare(cluster, "cloud_troubles");
@@ -199,16 +199,16 @@
 // knows what was accepted and what ended meanwhile.
 TEST_F(FaultTrace, ControllerMissesMoreChangesThanAreKept) {
   Options options;
-  options.changes_kept = 4;
+  options.retained_changes = 4;
   SimulatedCluster cluster(options);
   usual_load(cluster, 5);
-  cluster.at(9, [&] { cluster.cut({"n1"}, {"state"}, CutMode::reset); });
+  cluster.at(9, [&] { cluster.partition_network({"n1"}, {"state"}, NetworkPartitionMode::reset); });
   cluster.at(12, [&] { cluster.cancel("run-101"); });
   for (int i = 1; i <= 6; ++i)
     cluster.at(12 + i, [&cluster, i] {
       cluster.submit(cluster.job("run-" + std::to_string(i), "gold", 1, 1, 2));
     });
-  cluster.at(40, [&] { cluster.heal(); });
+  cluster.at(40, [&] { cluster.heal_network(); });
   cluster.run_until(60);
   int status = 0;
   std::string phase;
@@ -228,11 +228,11 @@
 TEST_F(FaultTrace, FaultsOverlap) {
   SimulatedCluster cluster({});
   usual_load(cluster, 5);
-  cluster.at(8, [&] { cluster.state_outage(true); });
+  cluster.at(8, [&] { cluster.set_store_outage(true); });
   cluster.at(11, [&] { cluster.crash(2); });
   cluster.at(12, [&] { cluster.kill_machine("m-000003"); });
   cluster.at(13, [&] { cluster.cancel("run-105"); });
-  cluster.at(22, [&] { cluster.state_outage(false); });
+  cluster.at(22, [&] { cluster.set_store_outage(false); });
   cluster.at(25, [&] { cluster.crash(0); });
   cluster.at(26, [&] { cluster.crash(1, 0.3); });
   cluster.run_until(100);
@@ -250,16 +250,16 @@
   std::string deaf;
   cluster.at(9, [&] {
     deaf = cluster.machines_of("run-101").at(0);
-    cluster.deafen(deaf, true);
+    cluster.block_inbound(deaf, true);
   });
   cluster.at(20, [&] { cluster.crash(1); });
   for (int i = 1; i <= 6; ++i)
     cluster.at(20 + 4 * i, [&cluster, i] {
       cluster.submit(cluster.job("run-" + std::to_string(i), "red", 6, 1, 3));
     });
-  cluster.at(80, [&] { cluster.deafen(deaf, false); });
+  cluster.at(80, [&] { cluster.block_inbound(deaf, false); });
   cluster.run_until(140);
-  cluster.checker().faults_over(80);
+  cluster.checker().on_faults_ended(80);
   expect_usual_load_ends(cluster);
   for (int i = 1; i <= 6; ++i) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done");
   EXPECT_LT(cluster.launches_to(deaf), 16u);
@@ -271,14 +271,14 @@
 // return.
 TEST_F(FaultTrace, DuplicatedHeartbeatsArriveLate) {
   SimulatedCluster cluster({});
-  cluster.duplicate_heartbeats(true);
+  cluster.set_duplicate_heartbeats(true);
   usual_load(cluster, 5);
   cluster.at(7, [&] { cluster.submit(cluster.job("run-1", "red", 100, 1, 8)); });
   cluster.at(15, [&] { cluster.crash(0); });
   cluster.at(40, [&] { cluster.kill_machine("m-000004"); });
   cluster.at(90, [&] { cluster.crash(2, 0.3); });
   cluster.run_until(260);
-  cluster.checker().faults_over(100);
+  cluster.checker().on_faults_ended(100);
   expect_usual_load_ends(cluster);
   EXPECT_EQ(cluster.phase("run-1"), "done");
   // No phantom: what the service counts as machines are those that are there.
@@ -308,7 +308,7 @@
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Options options;
     options.seed = seed;
-    options.machines = 24;
+    options.initial_machines = 24;
     SimulatedCluster cluster(options);
     usual_load(cluster, 5);
     cluster.at(9 + 0.13 * static_cast<double>(seed), [&] { cluster.freeze(1, 30); });
@@ -323,20 +323,20 @@
 // while a partition is given back to its preferred leader; late copies of heartbeats follow.
 TEST_F(FaultTrace, ControllersRestartDuringElections) {
   SimulatedCluster cluster({});
-  cluster.duplicate_heartbeats(true);
+  cluster.set_duplicate_heartbeats(true);
   usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.crash(1, 8); });
   for (double time_s : {14.0, 14.3, 14.6})
     cluster.at(time_s, [&cluster] { cluster.crash(0, 0.2); });
   cluster.at(14.45, [&] { cluster.crash(2, 0.3); });
-  cluster.at(30, [&] { cluster.state_outage(true); });
+  cluster.at(30, [&] { cluster.set_store_outage(true); });
   cluster.at(33, [&] { cluster.crash(2, 0.2); });
   cluster.at(36, [&] { cluster.crash(0, 0.1); });
-  cluster.at(40, [&] { cluster.state_outage(false); });
+  cluster.at(40, [&] { cluster.set_store_outage(false); });
   for (double time_s : {44.0, 44.4, 44.9, 45.5})
     cluster.at(time_s, [&cluster] { cluster.crash(1, 0.15); });
   cluster.run_until(140);
-  cluster.checker().faults_over(50);
+  cluster.checker().on_faults_ended(50);
   expect_usual_load_ends(cluster);
   expect_all_answered(cluster, kUsualJobs);
   compare(cluster, "back_in_mid_election");
@@ -346,8 +346,8 @@
 // job begin in time all the same.
 TEST_F(FaultTrace, OverloadStarvesNoJob) {
   Options options;
-  options.machines = 2;
-  options.capacity = 0;
+  options.initial_machines = 2;
+  options.rentable_machines = 0;
   options.nodes = 1;
   SimulatedCluster cluster(options);
   cluster.at(5, [&] {
@@ -364,7 +364,7 @@
       cluster.submit(spec);
     });
   cluster.run_until(320);
-  cluster.checker().day_over(320);
+  cluster.checker().on_run_end(320);
   compare(cluster, "overload");
 }
 
--- a/tests/trace/network_partition_trace_test.cc
+++ b/tests/trace/network_partition_trace_test.cc
@@ -7,16 +7,18 @@
 
 namespace {
 
-class NetworkPartitionTrace : public FaultTrace, public testing::WithParamInterface<CutMode> {
+class NetworkPartitionTrace : public FaultTrace,
+                              public testing::WithParamInterface<NetworkPartitionMode> {
  public:
-  std::string mode() const { return GetParam() == CutMode::hold ? "hold" : "reset"; }
+  std::string mode() const { return GetParam() == NetworkPartitionMode::hold ? "hold" : "reset"; }
 };
 
 TEST_P(NetworkPartitionTrace, LeaderIsIsolated) {
   SimulatedCluster cluster({});
   usual_load(cluster, 5);
-  cluster.at(9, [&] { cluster.cut({"n1"}, {SimulatedCluster::all()}, GetParam()); });
-  cluster.at(40, [&] { cluster.heal(); });
+  cluster.at(
+      9, [&] { cluster.partition_network({"n1"}, {SimulatedCluster::any_address()}, GetParam()); });
+  cluster.at(40, [&] { cluster.heal_network(); });
   cluster.run_until(90);
   expect_usual_load_ends(cluster);
   compare(cluster, "leader_cut_" + mode());
@@ -25,9 +27,9 @@
 TEST_P(NetworkPartitionTrace, LeaderLosesTheStateStore) {
   SimulatedCluster cluster({});
   usual_load(cluster, 5);
-  cluster.at(9, [&] { cluster.cut({"n1"}, {"state"}, GetParam()); });
+  cluster.at(9, [&] { cluster.partition_network({"n1"}, {"state"}, GetParam()); });
   cluster.at(12, [&] { cluster.cancel("run-103"); });
-  cluster.at(40, [&] { cluster.heal(); });
+  cluster.at(40, [&] { cluster.heal_network(); });
   cluster.run_until(90);
   EXPECT_EQ(cluster.phase("run-103"), "cancelled");
   EXPECT_EQ(cluster.phase("run-104"), "done");
@@ -37,10 +39,12 @@
 // The peer links is down: users are still answered correctly by every node.
 TEST_P(NetworkPartitionTrace, PeerLinksAreDown) {
   SimulatedCluster cluster({});
-  cluster.at(3, [&] { cluster.cut({"n0", "n1", "n2"}, {"n0", "n1", "n2"}, GetParam()); });
+  cluster.at(3, [&] {
+    cluster.partition_network({"n0", "n1", "n2"}, {"n0", "n1", "n2"}, GetParam());
+  });
   usual_load(cluster, 5);
   cluster.at(20, [&] { cluster.cancel("run-101"); });
-  cluster.at(40, [&] { cluster.heal(); });
+  cluster.at(40, [&] { cluster.heal_network(); });
   cluster.run_until(70);
   EXPECT_EQ(cluster.phase("run-101"), "cancelled");
   EXPECT_EQ(cluster.phase("run-104"), "done");
@@ -52,9 +56,10 @@
   SimulatedCluster cluster({});
   usual_load(cluster, 5);
   cluster.at(9, [&] {
-    cluster.cut({"w-m-000000", "w-m-000001", "w-m-000002"}, {SimulatedCluster::all()}, GetParam());
+    cluster.partition_network({"w-m-000000", "w-m-000001", "w-m-000002"},
+                              {SimulatedCluster::any_address()}, GetParam());
   });
-  cluster.at(30, [&] { cluster.heal(); });
+  cluster.at(30, [&] { cluster.heal_network(); });
   cluster.run_until(90);
   expect_usual_load_ends(cluster);
   compare(cluster, "machines_cut_" + mode());
@@ -65,10 +70,12 @@
 TEST_P(NetworkPartitionTrace, LeaderReachesOnlyItsWorkers) {
   SimulatedCluster cluster({});
   usual_load(cluster, 5);
-  cluster.at(9, [&] { cluster.cut({"n1"}, {"state", "cloud", "n0", "n2", "user"}, GetParam()); });
-  cluster.at(50, [&] { cluster.heal(); });
+  cluster.at(9, [&] {
+    cluster.partition_network({"n1"}, {"state", "cloud", "n0", "n2", "user"}, GetParam());
+  });
+  cluster.at(50, [&] { cluster.heal_network(); });
   cluster.run_until(90);
-  cluster.checker().faults_over(50);
+  cluster.checker().on_faults_ended(50);
   expect_usual_load_ends(cluster);
   expect_no_lease_ends(cluster);
   expect_all_answered(cluster, kUsualJobs);
@@ -85,12 +92,12 @@
     const std::string n = std::to_string(i);
     workers.insert("w-m-" + std::string(6 - n.size(), '0') + n);
   }
-  cluster.at(9, [&] { cluster.cut({"n1"}, workers, GetParam()); });
+  cluster.at(9, [&] { cluster.partition_network({"n1"}, workers, GetParam()); });
   cluster.at(30, [&] { EXPECT_NE(cluster.leader_of(1), 1); });
-  cluster.at(50, [&] { cluster.heal(); });
+  cluster.at(50, [&] { cluster.heal_network(); });
   cluster.run_until(90);
   EXPECT_EQ(cluster.leader_of(1), 1);
-  cluster.checker().faults_over(50);
+  cluster.checker().on_faults_ended(50);
   expect_usual_load_ends(cluster);
   expect_no_lease_ends(cluster);
   expect_all_answered(cluster, kUsualJobs);
@@ -98,7 +105,9 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Modes, NetworkPartitionTrace,
-                         testing::Values(CutMode::hold, CutMode::reset),
-                         [](const auto& i) { return i.param == CutMode::hold ? "Hold" : "Reset"; });
+                         testing::Values(NetworkPartitionMode::hold, NetworkPartitionMode::reset),
+                         [](const auto& i) {
+                           return i.param == NetworkPartitionMode::hold ? "Hold" : "Reset";
+                         });
 
 }  // namespace
--- a/tests/upgrade/conversion_test.cc
+++ b/tests/upgrade/conversion_test.cc
@@ -295,7 +295,7 @@
   cluster.at(46, [&] {
     EXPECT_GT(cluster.progress_in_bits(), 0u) << "it is spread over time";
     EXPECT_LT(cluster.progress_in_bits(), left_at_first);
-    cluster.raw(1, "GET", "/upgrade/status", "", [&](int code, std::string body) {
+    cluster.send_request(1, "GET", "/upgrade/status", "", [&](int code, std::string body) {
       status = {code, std::move(body)};
     });
     cluster.ask_now(0, Action::finalize);
@@ -347,7 +347,7 @@
   const auto stored = cluster.keys("d/");
   ASSERT_EQ(stored.size(), 1u);
   const std::string value = R"({"n":"n9.b1.1","chunk":0,"form":7,"runs":[0,2]})";
-  cluster.store(stored[0], value);
+  cluster.put_stored_value(stored[0], value);
   cluster.crash(cluster.leader_of(1), 6);
   cluster.advance_to(35, ClusterVersion::convert);
   cluster.ask(55, 0, Action::finalize);
@@ -355,8 +355,8 @@
   ASSERT_EQ(cluster.replies().size(), 3u);
   EXPECT_EQ(cluster.replies().back().status, 409);
   EXPECT_TRUE(cluster.replies().back().has(stored[0])) << cluster.replies().back().body;
-  EXPECT_EQ(*cluster.stored(stored[0]), value);
-  EXPECT_GT(cluster.lines("progress unreadable key=" + stored[0]), 0u);
+  EXPECT_EQ(*cluster.stored_value(stored[0]), value);
+  EXPECT_GT(cluster.count_trace_lines("progress unreadable key=" + stored[0]), 0u);
   cluster.run_until(170);
   EXPECT_EQ(cluster.phase("run-7"), "done");
   expect_rules_kept(cluster);
--- a/tests/upgrade/random_upgrades_test.cc
+++ b/tests/upgrade/random_upgrades_test.cc
@@ -61,38 +61,40 @@
       case 1:
         return cluster_.at(time_s, [this, node, for_s] { cluster_.freeze(node, for_s); });
       case 2:
-        cluster_.at(time_s, [this, node] { cluster_.state_refuses(node, true); });
-        return cluster_.at(time_s + for_s, [this, node] { cluster_.state_refuses(node, false); });
+        cluster_.at(time_s, [this, node] { cluster_.set_store_unavailable_to(node, true); });
+        return cluster_.at(time_s + for_s,
+                           [this, node] { cluster_.set_store_unavailable_to(node, false); });
       case 3:
-        cluster_.at(time_s, [this] { cluster_.state_outage(true); });
-        return cluster_.at(time_s + for_s / 2, [this] { cluster_.state_outage(false); });
+        cluster_.at(time_s, [this] { cluster_.set_store_outage(true); });
+        return cluster_.at(time_s + for_s / 2, [this] { cluster_.set_store_outage(false); });
       case 4:
-        cluster_.at(time_s, [this] { cluster_.late_writes({0.3, 0.2, 12}); });
-        return cluster_.at(time_s + for_s, [this] { cluster_.late_writes({}); });
+        cluster_.at(time_s, [this] { cluster_.set_commit_delays({0.3, 0.2, 12}); });
+        return cluster_.at(time_s + for_s, [this] { cluster_.set_commit_delays({}); });
       case 5:
         cluster_.at(time_s, [this, name] {
-          cluster_.cut({name}, {SimulatedCluster::all()}, CutMode::hold);
+          cluster_.partition_network({name}, {SimulatedCluster::any_address()},
+                                     NetworkPartitionMode::hold);
         });
-        return cluster_.at(time_s + for_s, [this] { cluster_.heal(); });
+        return cluster_.at(time_s + for_s, [this] { cluster_.heal_network(); });
       case 6: {
         const auto newest = static_cast<ClusterVersion>(1 + pick(4));
-        return cluster_.at(time_s,
-                           [this, node, newest, for_s] { cluster_.install(node, newest, for_s); });
+        return cluster_.at(
+            time_s, [this, node, newest, for_s] { cluster_.install_build(node, newest, for_s); });
       }
       default:
-        cluster_.at(time_s, [this] { cluster_.state_slow(1.2); });
-        return cluster_.at(time_s + for_s, [this] { cluster_.state_slow(0); });
+        cluster_.at(time_s, [this] { cluster_.set_max_store_latency(1.2); });
+        return cluster_.at(time_s + for_s, [this] { cluster_.set_max_store_latency(0); });
     }
   }
 
   void end_faults() {
-    cluster_.heal();
-    cluster_.state_outage(false);
-    cluster_.late_writes({});
-    cluster_.state_slow(0);
+    cluster_.heal_network();
+    cluster_.set_store_outage(false);
+    cluster_.set_commit_delays({});
+    cluster_.set_max_store_latency(0);
     for (int node = 0; node < 3; ++node) {
-      cluster_.state_refuses(node, false);
-      cluster_.install(node, upgrade::kNewestVersion, 1 + node);
+      cluster_.set_store_unavailable_to(node, false);
+      cluster_.install_build(node, upgrade::kNewestVersion, 1 + node);
     }
   }
 
@@ -117,8 +119,8 @@
     const std::string name = "upgrade day " + std::to_string(number);
     if (std::getenv("EIDERREEL_TRACE"))
       for (const auto& line : cluster.trace()) std::printf("%s\n", line.c_str());
-    steps += cluster.versions().versions().size() - 1;
-    compact += cluster.versions().progress_written(true);
+    steps += cluster.version_checker().versions().size() - 1;
+    compact += cluster.version_checker().progress_writes(true);
     for (int node = 0; node < 3; ++node)
       EXPECT_EQ(cluster.acting(node), cluster.cluster_version()) << name;
     expect_arrays_ended_and_rules_kept(cluster, {3, 125, 2.5}, name);
--- a/tests/upgrade/rolling_upgrade_faults_test.cc
+++ b/tests/upgrade/rolling_upgrade_faults_test.cc
@@ -60,9 +60,9 @@
     UpgradeCluster cluster(seeded_options());
     submit_arrays(cluster, {5, 50});
     cluster.advance_to(10, ClusterVersion::write_compact);
-    cluster.at(19.99, [&] { cluster.state_refuses(refused, true); });
+    cluster.at(19.99, [&] { cluster.set_store_unavailable_to(refused, true); });
     cluster.ask(20, 0, Action::advance);
-    cluster.at(35, [&] { cluster.state_refuses(refused, false); });
+    cluster.at(35, [&] { cluster.set_store_unavailable_to(refused, false); });
     cluster.ask(50, 0, Action::advance);
     cluster.run_until(120);
     ASSERT_GE(cluster.replies().size(), 2u);
@@ -78,8 +78,8 @@
   submit_arrays(cluster, {5, 50});
   cluster.advance_to(10, ClusterVersion::write_compact);
   cluster.ask(19.995, 0, Action::advance);
-  cluster.at(20, [&] { cluster.state_outage(true); });
-  cluster.at(32, [&] { cluster.state_outage(false); });
+  cluster.at(20, [&] { cluster.set_store_outage(true); });
+  cluster.at(32, [&] { cluster.set_store_outage(false); });
   double told_at = 0;
   cluster.at(30, [&] { told_at = cluster.replies().size() == 2 ? 1 : 0; });
   cluster.run_until(40);
@@ -95,21 +95,22 @@
 TEST_P(RollingUpgradeFaults, StepWithUnknownOutcomeIsNotRepeatedBlindly) {
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 50});
-  cluster.at(19.9, [&] { cluster.late_writes({1, 2, 12}); });
+  cluster.at(19.9, [&] { cluster.set_commit_delays({1, 2, 12}); });
   cluster.at(20, [&] { cluster.ask_now(0, Action::advance, {}, "late"); });
   OperatorReply status;
   cluster.at(30, [&] {
     EXPECT_EQ(cluster.reply_to("late").status, 504);
     EXPECT_TRUE(cluster.reply_to("late").has("\"outcome\":\"unknown\""));
-    cluster.late_writes({});
-    cluster.raw(0, "GET", "/upgrade/status", "", [&](int code, std::string body) {
+    cluster.set_commit_delays({});
+    cluster.send_request(0, "GET", "/upgrade/status", "", [&](int code, std::string body) {
       status = {code, std::move(body)};
     });
   });
   cluster.run_until(50);
   EXPECT_EQ(cluster.cluster_version(), 2u);
   EXPECT_TRUE(status.has("\"step_in_doubt\":\"late\"") || status.has("\"last_request\":\"late\""));
-  EXPECT_EQ(cluster.versions().versions(), (std::vector<std::uint64_t>{1, 2})) << "it landed once";
+  EXPECT_EQ(cluster.version_checker().versions(), (std::vector<std::uint64_t>{1, 2}))
+      << "it landed once";
   cluster.run_until(120);
   expect_arrays_ended_and_rules_kept(cluster, {5, 50});
 }
@@ -118,13 +119,13 @@
 TEST_P(RollingUpgradeFaults, DelayedCommitsLandUnderLaterVersions) {
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 80, 1.5});
-  cluster.at(8, [&] { cluster.late_writes({0.25, 2, 12}); });
+  cluster.at(8, [&] { cluster.set_commit_delays({0.25, 2, 12}); });
   for (int n = 0; n < 14; ++n)
     cluster.ask(12 + 5.0 * n, n % 3, n % 4 < 2 ? Action::advance : Action::abort);
-  cluster.at(85, [&] { cluster.late_writes({}); });
+  cluster.at(85, [&] { cluster.set_commit_delays({}); });
   cluster.run_until(190);
-  EXPECT_GT(cluster.landed_late(), 0u);
-  EXPECT_GT(cluster.versions().versions().size(), 4u);
+  EXPECT_GT(cluster.delayed_commits(), 0u);
+  EXPECT_GT(cluster.version_checker().versions().size(), 4u);
   expect_arrays_ended_and_rules_kept(cluster, {5, 80, 1.5});
 }
 
--- a/tests/upgrade/rolling_upgrade_restarts_test.cc
+++ b/tests/upgrade/rolling_upgrade_restarts_test.cc
@@ -36,9 +36,9 @@
   submit_arrays(cluster, {5, 50});
   cluster.at(10, [&] { cluster.crash(1, 12); });
   cluster.at(22, [&] {
-    cluster.late_writes({1, 2.2, 2.4});
+    cluster.set_commit_delays({1, 2.2, 2.4});
   });  // those of the others too, for a moment
-  cluster.at(22.3, [&] { cluster.late_writes({}); });
+  cluster.at(22.3, [&] { cluster.set_commit_delays({}); });
   cluster.ask(22.5, 0, Action::advance, {"n1"});
   cluster.ask(23.2, 0, Action::advance, {"n1"});
   cluster.run_until(23.6);
@@ -55,9 +55,9 @@
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {2, 60, 1});
   const double frozen_at = 20 + 0.137 * static_cast<double>(GetParam());
-  cluster.at(frozen_at - 3, [&] { cluster.late_writes({0.3, 2, 30}); });
+  cluster.at(frozen_at - 3, [&] { cluster.set_commit_delays({0.3, 2, 30}); });
   cluster.at(frozen_at, [&] {
-    cluster.late_writes({});
+    cluster.set_commit_delays({});
     cluster.freeze(1, 25);
   });
   cluster.ask(frozen_at + 8, 0, Action::advance, {"n1"});
@@ -74,16 +74,16 @@
     UpgradeCluster cluster(seeded_options());
     submit_arrays(cluster, {5, 60});
     cluster.advance_to(10, version);
-    cluster.at(30, [&] { cluster.install(1, ClusterVersion::base, 2); });
+    cluster.at(30, [&] { cluster.install_build(1, ClusterVersion::base, 2); });
     cluster.run_until(45);
     EXPECT_EQ(cluster.acting(1), 0u);
     EXPECT_NE(cluster.leader_of(1), 1) << "its partition goes to another";
     EXPECT_NE(cluster.leader_of(1), -1);
     OperatorReply ready, status;
-    cluster.raw(1, "GET", "/ready", "", [&](int code, std::string body) {
+    cluster.send_request(1, "GET", "/ready", "", [&](int code, std::string body) {
       ready = {code, std::move(body)};
     });
-    cluster.raw(1, "GET", "/status", "", [&](int code, std::string body) {
+    cluster.send_request(1, "GET", "/status", "", [&](int code, std::string body) {
       status = {code, std::move(body)};
     });
     cluster.run_until(46);
@@ -105,11 +105,11 @@
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 60});
   cluster.advance_to(10, ClusterVersion::compact_only);
-  cluster.at(35, [&] { cluster.install(1, ClusterVersion::convert, 2); });
+  cluster.at(35, [&] { cluster.install_build(1, ClusterVersion::convert, 2); });
   cluster.run_until(60);
   EXPECT_EQ(cluster.cluster_version(), 4u);
   EXPECT_EQ(cluster.acting(1), 0u);
-  cluster.install(1, upgrade::kNewestVersion, 2);
+  cluster.install_build(1, upgrade::kNewestVersion, 2);
   cluster.run_until(140);
   EXPECT_EQ(cluster.acting(1), 4u);
   expect_arrays_ended_and_rules_kept(cluster, {5, 60});
@@ -121,10 +121,10 @@
     UpgradeCluster cluster(seeded_options());
     submit_arrays(cluster, {5, 30});
     cluster.ask(10, 0, Action::advance);
-    cluster.at(18, [&] { cluster.state_slow(0.4); });
+    cluster.at(18, [&] { cluster.set_max_store_latency(0.4); });
     cluster.ask(20, 0, Action::advance);
-    cluster.at(20 + offset, [&] { cluster.install(2, ClusterVersion::base, 0.05); });
-    cluster.at(24, [&] { cluster.state_slow(0); });
+    cluster.at(20 + offset, [&] { cluster.install_build(2, ClusterVersion::base, 0.05); });
+    cluster.at(24, [&] { cluster.set_max_store_latency(0); });
     cluster.run_until(90);
     EXPECT_EQ(cluster.acting(2), 0u) << "it cannot act under version 2 either";
     expect_arrays_ended_and_rules_kept(cluster, {5, 30}, std::to_string(offset));
@@ -135,7 +135,7 @@
 // and where one comes back later it does no harm to jobs.
 TEST_P(RollingUpgradeRestarts, UnversionedBuildsBlockSteps) {
   Options options = seeded_options();
-  options.old_nodes = {0, 1, 2};
+  options.old_build_nodes = {0, 1, 2};
   UpgradeCluster cluster(options);
   submit_arrays(cluster, {5, 60});
   cluster.at(12, [&] { cluster.upgrade(0, 1); });
--- a/tests/upgrade/rolling_upgrade_test.cc
+++ b/tests/upgrade/rolling_upgrade_test.cc
@@ -17,8 +17,8 @@
   EXPECT_EQ(cluster.progress_in_bits(), 0u);
   cluster.run_until(140);
   for (int node = 0; node < 3; ++node) EXPECT_EQ(cluster.acting(node), 4u);
-  EXPECT_GT(cluster.versions().progress_written(false), 0u);
-  EXPECT_GT(cluster.versions().progress_written(true), 0u);
+  EXPECT_GT(cluster.version_checker().progress_writes(false), 0u);
+  EXPECT_GT(cluster.version_checker().progress_writes(true), 0u);
   expect_arrays_ended_and_rules_kept(cluster, {5, 70});
 }
 
@@ -91,24 +91,25 @@
   cluster.run_until(100);
   ASSERT_EQ(cluster.replies().size(), 3u);
   EXPECT_EQ(cluster.replies_with(200), 2u) << "the first step, and one of the two";
-  EXPECT_EQ(cluster.versions().versions().size(), 3u);
+  EXPECT_EQ(cluster.version_checker().versions().size(), 3u);
   expect_arrays_ended_and_rules_kept(cluster, {5, 40});
 }
 
 TEST_P(RollingUpgrade, VersionAboveTheBuildPreventsAnyClaim) {
   UpgradeCluster cluster(seeded_options());
-  cluster.store("e/upgrade/version", R"({"n":"x.y.1","version":9,"from":8,"at_ms":1,"who":"a"})");
+  cluster.put_stored_value("e/upgrade/version",
+                           R"({"n":"x.y.1","version":9,"from":8,"at_ms":1,"who":"a"})");
   cluster.run_until(30);
-  EXPECT_EQ(cluster.keys_under("e/part/"), 0u);
-  EXPECT_EQ(cluster.keys_under("e/node/"), 0u);
+  EXPECT_EQ(cluster.count_keys("e/part/"), 0u);
+  EXPECT_EQ(cluster.count_keys("e/node/"), 0u);
   EXPECT_EQ(cluster.commits(), 0u);
-  EXPECT_GT(cluster.lines("standby node="), 0u);
+  EXPECT_GT(cluster.count_trace_lines("standby node="), 0u);
 }
 
 TEST_P(RollingUpgrade, UnreadableVersionStopsOnlyRestartedControllers) {
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 40});
-  cluster.at(20, [&] { cluster.store("e/upgrade/version", R"({"version":"two"})"); });
+  cluster.at(20, [&] { cluster.put_stored_value("e/upgrade/version", R"({"version":"two"})"); });
   cluster.at(25, [&] { cluster.crash(2, 1); });
   cluster.ask(30, 0, Action::advance);
   cluster.run_until(60);
@@ -127,7 +128,7 @@
   cluster.ask(20, 2, Action::abort);
   OperatorReply history;
   cluster.at(25, [&] {
-    cluster.raw(1, "GET", "/upgrade/history", "", [&](int code, std::string body) {
+    cluster.send_request(1, "GET", "/upgrade/history", "", [&](int code, std::string body) {
       history = {code, std::move(body)};
     });
   });
