--- a/tests/upgrade/upgrade_cluster.h
+++ b/tests/upgrade/upgrade_cluster.h
@@ -30,7 +30,7 @@
 inline Options upgrade_options(std::uint64_t seed) {
   Options options;
   options.seed = seed;
-  options.machines = 9;
+  options.initial_machines = 9;
   options.upgrades = enabled_upgrades();
   return options;
 }
@@ -57,11 +57,11 @@
         request,
         "ops1",
         "a test"};
-    raw(node, "POST", "/upgrade/step", codec::encode(order),
-        [this, request](int status, std::string body) {
-          replies_.push_back({status, std::move(body)});
-          by_request_[request] = replies_.back();
-        });
+    send_request(node, "POST", "/upgrade/step", codec::encode(order),
+                 [this, request](int status, std::string body) {
+                   replies_.push_back({status, std::move(body)});
+                   by_request_[request] = replies_.back();
+                 });
   }
   void ask(double time_s, int node, Action action, std::set<std::string> without = {}) {
     at(time_s, [this, node, action, without] { ask_now(node, action, without); });
@@ -76,7 +76,7 @@
   static constexpr double kSettle = 6;  // s; by then a step is acknowledged by all that run
 
   std::uint64_t cluster_version() const {
-    const std::string* value = stored("e/upgrade/version");
+    const std::string* value = stored_value("e/upgrade/version");
     if (!value) return 1;
     rapidjson::Document document;
     document.Parse(value->c_str());
@@ -84,7 +84,7 @@
   }
   // Under which version a controller acts, by its record; 0: it has none.
   std::uint64_t acting(int node) const {
-    const std::string* value = stored("e/node/n" + std::to_string(node));
+    const std::string* value = stored_value("e/node/n" + std::to_string(node));
     if (!value) return 0;
     rapidjson::Document document;
     document.Parse(value->c_str());
@@ -103,10 +103,10 @@
   }
   std::size_t progress_with(const std::string& text) const {
     std::size_t n = 0;
-    for (const auto& key : keys("d/")) n += stored(key)->find(text) != std::string::npos;
+    for (const auto& key : keys("d/")) n += stored_value(key)->find(text) != std::string::npos;
     return n;
   }
-  std::size_t progress_in_bits() const { return keys_under("d/") - progress_with("\"form\":2"); }
+  std::size_t progress_in_bits() const { return count_keys("d/") - progress_with("\"form\":2"); }
 
  private:
   int requests_ = 0;
