--- a/tests/standin/machine_model.h
+++ b/tests/standin/machine_model.h
@@ -36,8 +36,8 @@
   Ms token_report_at = -100000;  // when a higher fencing token last caused an immediate heartbeat
   bool heartbeat_in_flight = false, report_due = false;
   std::uint64_t heartbeat_id = 0;
-  std::vector<std::function<void()>>
-      deferred_commands;  // requests received while the worker was frozen
+  // Requests received while the worker was frozen.
+  std::vector<std::function<void()>> deferred_commands;
 };
 
 }  // namespace eiderreel::standin
--- a/tests/standin/options.h
+++ b/tests/standin/options.h
@@ -25,8 +25,8 @@
   double state_rps = 200, state_write_rps = 100;
   std::vector<Team> teams = {{"red", 16, 48, 0, 0}, {"blue", 16, 48, 0, 0}, {"gold", 16, 48, 0, 0}};
   int initial_machines = 6;  // machines of 8 CPUs that run from the start
-  int rentable_machines =
-      4;  // more machines that can be rented, for each zone and each of spot and on-demand
+  // Further machines that can be rented, for each zone and each of spot and on-demand.
+  int rentable_machines = 4;
   double boot_s = 6;
   double max_latency_ms = 4;    // upper bound of the latency of a message
   bool enforce_limits = false;  // whether the state store rejects writes above its rate
@@ -36,10 +36,10 @@
   // enforces them.
   std::optional<double> announced_value_kb, announced_write_rps;
   std::optional<int> announced_txn_ops;
-  std::set<int>
-      old_build_nodes;  // controllers that start with the last build without prerequisites
-  std::size_t retained_changes =
-      10000;  // length of the change history that the state store keeps for watches
+  // Controllers that start with the last build without prerequisites.
+  std::set<int> old_build_nodes;
+  // Length of the change history that the state store keeps for watches.
+  std::size_t retained_changes = 10000;
   // Contents of the operators' upgrade file, the same for all controllers. Without it, the
   // controllers take no part in cluster versions.
   std::optional<upgrade::UpgradeSettings> upgrades;
--- a/tests/standin/rule_checker.cc
+++ b/tests/standin/rule_checker.cc
@@ -7,7 +7,7 @@
 namespace {
 constexpr double kMaxUnansweredS = 75;  // without a reply, after the faults have ended
 constexpr double kMaxSchedulableWaitS =
-    90;                                  // next to a machine with room, after the faults have ended
+    90;                                  // while a machine has room, after the faults have ended
 constexpr double kMaxStartDelayS = 240;  // every job, of any size, starts within four minutes
 constexpr double kLargestJobsFraction = 0.2;  // of the jobs of a class, by number of tasks
 }  // namespace
@@ -58,7 +58,7 @@
 }
 
 // Detects a job that is still reported as queued or running more than `cancel_s_` after a
-// prerequisite was reported as cancelled.
+// prerequisite was reported as cancelled, or after its own acceptance if that was later.
 void RuleChecker::check_orphaned(double now, const std::string& id, const Job& job) {
   if (!job.accepted) return;
   for (const Job* prerequisite : prerequisites_of(job))
--- a/tests/standin/rule_checker.h
+++ b/tests/standin/rule_checker.h
@@ -73,8 +73,8 @@
     double schedulable_since = -1;
     double unanswered_since = -1;  // first unanswered poll since the last answered one
     std::set<std::uint32_t> done_tasks;
-    std::map<std::uint32_t, std::map<std::string, Placement>>
-        running_on;  // by task index and machine id
+    // By task index and machine id.
+    std::map<std::uint32_t, std::map<std::string, Placement>> running_on;
   };
   void add_violation(double now, const char* rule, const std::string& what);
   // All direct and indirect prerequisites of a job.
--- a/tests/standin/simulated_cluster.h
+++ b/tests/standin/simulated_cluster.h
@@ -75,8 +75,8 @@
   void crash(int node, double restart_after_s = 4);
   // Crashes the node and restarts it with the newest build.
   void upgrade(int node, double restart_after_s = 4);
-  void downgrade(int node, double restart_after_s =
-                               4);  // restarts it with the last build without prerequisites
+  // Crashes the node and restarts it with the last build without prerequisites.
+  void downgrade(int node, double restart_after_s = 4);
   // Crashes the node and restarts it with a build whose newest cluster version is `newest`.
   void install_build(int node, upgrade::ClusterVersion newest, double restart_after_s = 4);
   // Makes the state store enforce these limits from now on.
@@ -89,6 +89,7 @@
   void heal_network();
   void set_store_outage(bool on);                    // 503 for all nodes
   void set_store_unavailable_to(int node, bool on);  // 503 for one node
+  // Delays a fraction of the transactions and sends no reply to them.
   void set_commit_delays(DelayModel delays) { state_store_.set_commit_delays(delays); }
   // Delays a fraction of the commands that are sent to workers outside of heartbeat replies.
   void set_command_delays(DelayModel delays) { command_delays_ = delays; }
