--- a/tests/standin/rule_checker.cc
+++ b/tests/standin/rule_checker.cc
@@ -5,10 +5,9 @@
 namespace eiderreel::standin {
 
 namespace {
-constexpr double kMaxUnansweredS = 75;  // without a reply, after the faults have ended
-constexpr double kMaxSchedulableWaitS =
-    90;                                  // while a machine has room, after the faults have ended
-constexpr double kMaxStartDelayS = 240;  // every job, of any size, starts within four minutes
+constexpr double kMaxUnansweredS = 75;        // without a reply, after the faults have ended
+constexpr double kMaxSchedulableWaitS = 90;   // while a machine has room, after the faults ended
+constexpr double kMaxStartDelayS = 240;       // every job, of any size, starts within four minutes
 constexpr double kLargestJobsFraction = 0.2;  // of the jobs of a class, by number of tasks
 }  // namespace
 
