--- a/src/api/job_api.cc
+++ b/src/api/job_api.cc
@@ -19,7 +19,8 @@
                   [this](const std::string& id, const Reply& reply) { look_up(id, false, reply); }),
       // A reply may arrive late, even after a restart of this process. A random first number keeps
       // query numbers from being reused.
-      last_query_number_(static_cast<std::uint64_t>(runtime.random() * k::kMaxInitialRequestNumber)) {}
+      last_query_number_(
+          static_cast<std::uint64_t>(runtime.random() * k::kMaxInitialRequestNumber)) {}
 
 // ------------------------------------------------------------------------------ requests
 
--- a/src/codec/wire_names.h
+++ b/src/codec/wire_names.h
@@ -116,16 +116,16 @@
 /// Records that controllers keep in the state store, see state_records.h. The project chose these
 /// names itself, but cannot change them: earlier builds read and write the same records.
 namespace record {
-inline constexpr const char* kNonce = "n";               // nonce that identifies the write
-inline constexpr const char* kLeader = "owner";          // controller that leads a partition
-inline constexpr const char* kLeaseId = "grant";         // lease of the writing controller
-inline constexpr const char* kPartition = "part";        // -1: the machine is released
-inline constexpr const char* kMachineType = "type";      // machine type, as named in the catalog
-inline constexpr const char* kZone = "zone";             // name of the zone
-inline constexpr const char* kAddress = "addr";          // IP:PORT of the worker
-inline constexpr const char* kSpot = "spot";             // true: a spot machine
-inline constexpr const char* kBootId = "boot";           // id of one run of a controller process
-inline constexpr const char* kFeatures = "features";     // bit set, see constants::kBuildFeatureBits
+inline constexpr const char* kNonce = "n";            // nonce that identifies the write
+inline constexpr const char* kLeader = "owner";       // controller that leads a partition
+inline constexpr const char* kLeaseId = "grant";      // lease of the writing controller
+inline constexpr const char* kPartition = "part";     // -1: the machine is released
+inline constexpr const char* kMachineType = "type";   // machine type, as named in the catalog
+inline constexpr const char* kZone = "zone";          // name of the zone
+inline constexpr const char* kAddress = "addr";       // IP:PORT of the worker
+inline constexpr const char* kSpot = "spot";          // true: a spot machine
+inline constexpr const char* kBootId = "boot";        // id of one run of a controller process
+inline constexpr const char* kFeatures = "features";  // bit set, see constants::kBuildFeatureBits
 inline constexpr const char* kOldestVersion = "oldest";  // oldest supported cluster version
 inline constexpr const char* kNewestVersion = "newest";  // newest supported cluster version
 inline constexpr const char* kActingVersion = "acting";  // cluster version in use
--- a/src/codec/worker_json.cc
+++ b/src/codec/worker_json.cc
@@ -74,7 +74,8 @@
   reader.required(wire::worker::kSequence, heartbeat.sequence);
   reader.required(wire::worker::kFencingToken, heartbeat.fencing_token);
   double notice_s = 0;
-  if (get(*document, wire::worker::kTerminationNoticeS, notice_s)) heartbeat.termination_notice_s = notice_s;
+  if (get(*document, wire::worker::kTerminationNoticeS, notice_s))
+    heartbeat.termination_notice_s = notice_s;
   auto tasks = parse_objects(*document, wire::worker::kTasks, parse_task);
   if (!tasks) return tl::unexpected(tasks.error());
   heartbeat.tasks = std::move(*tasks);
--- a/src/leadership/conversion_rate_limiter.h
+++ b/src/leadership/conversion_rate_limiter.h
@@ -29,7 +29,9 @@
   std::uint64_t converted() const { return converted_; }
   /// Values converted per second, as an exponentially decaying average with the time constant
   /// constants::kConversionRateAveragingMs.
-  double values_per_s() const { return recent_values_ * 1000.0 / constants::kConversionRateAveragingMs; }
+  double values_per_s() const {
+    return recent_values_ * 1000.0 / constants::kConversionRateAveragingMs;
+  }
 
  private:
   double changes_per_s_;
--- a/src/leadership/job_finalizer.cc
+++ b/src/leadership/job_finalizer.cc
@@ -121,7 +121,8 @@
 // record.
 std::vector<std::string> JobFinalizer::next_implied_cancellations(LedPartition& led) const {
   const ClusterView& view = state_store_.view();
-  const auto max_jobs = static_cast<std::size_t>(std::max(1, settings_.max_transaction_writes() / 2));
+  const auto max_jobs =
+      static_cast<std::size_t>(std::max(1, settings_.max_transaction_writes() / 2));
   std::vector<std::string> jobs;
   for (const auto& job : view.dependencies.all_cancelled()) {
     if (jobs.size() == max_jobs) break;
--- a/src/leadership/progress_recorder.cc
+++ b/src/leadership/progress_recorder.cc
@@ -37,9 +37,10 @@
 void ProgressRecorder::record(LedPartition& led, const std::string& job) {
   led.persistence[job].last_commit_at = runtime_.now();
   const std::string nonce = state_store_.nonce();
-  auto batch = upgrade::batch_to_record(
-      progress_of(led, job), led.scheduler->unrecorded_tasks(job), state_store_.progress_policy().write,
-      static_cast<std::size_t>(settings_.max_transaction_writes()), nonce);
+  auto batch =
+      upgrade::batch_to_record(progress_of(led, job), led.scheduler->unrecorded_tasks(job),
+                               state_store_.progress_policy().write,
+                               static_cast<std::size_t>(settings_.max_transaction_writes()), nonce);
   if (!batch.empty()) commit(led, job, nonce, std::move(batch), false);
 }
 
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -85,8 +85,8 @@
 }
 
 void HttpClient::send(const HttpRequest& request, OnReply on_reply) {
-  Call& call = open_calls_.emplace_back(
-      Call{this, request.close_connection, std::move(on_reply), take_connection(), open_calls_.end()});
+  Call& call = open_calls_.emplace_back(Call{this, request.close_connection, std::move(on_reply),
+                                             take_connection(), open_calls_.end()});
   call.position = std::prev(open_calls_.end());
   evhttp_connection* connection = call.connection.get();
   const timeval timeout = to_timeval(request.timeout);
--- a/src/peer_rpc/messages.h
+++ b/src/peer_rpc/messages.h
@@ -33,7 +33,7 @@
       partition_loads;              // of partitions that the sender leads
   StoreUsage store_usage;           // the sender's use of the state store
   bool receives_heartbeats = true;  // whether workers' heartbeats reach the sender
-  std::uint64_t features = 0;       // bit set of the sender's build, see constants::kBuildFeatureBits
+  std::uint64_t features = 0;  // bit set of the sender's build, see constants::kBuildFeatureBits
   // Empty if the sender does not take part in cluster versions.
   std::optional<ConversionProgress> conversion = std::nullopt;
 };
--- a/src/scheduler/team_usage.cc
+++ b/src/scheduler/team_usage.cc
@@ -44,7 +44,8 @@
 }
 
 bool TeamUsage::keeps_fair_share(std::size_t team, double preempted_cpus, double cpus) const {
-  return used_[team].cpus - preempted_cpus - cpus >= teams_[team].fair_share_cpus - kRoundingTolerance;
+  return used_[team].cpus - preempted_cpus - cpus >=
+         teams_[team].fair_share_cpus - kRoundingTolerance;
 }
 
 }  // namespace eiderreel
--- a/src/upgrade/status_report.cc
+++ b/src/upgrade/status_report.cc
@@ -41,7 +41,8 @@
 
 bool StatusReporter::is_current() const {
   const Ms since_success_ms = runtime_.now() - state_store_.last_executed_at();
-  return state_store_.view().ready && since_success_ms < k::kWatchLongPollMs + k::kStateStoreSilenceMs;
+  return state_store_.view().ready &&
+         since_success_ms < k::kWatchLongPollMs + k::kStateStoreSilenceMs;
 }
 
 ConversionReport StatusReporter::conversion() const {
--- a/tests/standin/simulated_cluster_network.cc
+++ b/tests/standin/simulated_cluster_network.cc
@@ -96,7 +96,19 @@
     ControllerProcess& process = controllers_[i];
     if (!process.up) return reply_to_sender({});
     trace_sink()->node = process.name;
-process.node->serve_request(request.method, request.path, process.old_build ? as_old_build_reads(request.body) : request.body, [this, i, from, request, reply_to_sender](int status, std::string body) { for (auto at = body.find("\"launch\""); at != std::string::npos; at = body.find("\"launch\"", at + 1)) ++launch_commands_[from]; if (request.path == "/v1/report" && status == 200) { ++heartbeats_accepted_[static_cast<int>(i)]; check_lease_of_responder(*controllers_[i].node, request.body); } reply_to_sender({status, body}); });
+    process.node->serve_request(
+        request.method, request.path,
+        process.old_build ? as_old_build_reads(request.body) : request.body,
+        [this, i, from, request, reply_to_sender](int status, std::string body) {
+          for (auto at = body.find("\"launch\""); at != std::string::npos;
+               at = body.find("\"launch\"", at + 1))
+            ++launch_commands_[from];
+          if (request.path == "/v1/report" && status == 200) {
+            ++heartbeats_accepted_[static_cast<int>(i)];
+            check_lease_of_responder(*controllers_[i].node, request.body);
+          }
+          reply_to_sender({status, body});
+        });
   });
 }
 
--- a/tests/stored_messages_test.cc
+++ b/tests/stored_messages_test.cc
@@ -42,10 +42,8 @@
   for (const auto& [partition, need] : m.partition_loads)
     partitions.emplace_back(partition, fields(need));
   return std::tuple(partitions, m.store_usage.requests_per_s, m.store_usage.changes_per_s,
-                    m.receives_heartbeats,
-                    m.features, m.conversion.has_value(), c.values_left,
-                    c.values_converted,
-                    c.unreadable, c.values_per_s);
+                    m.receives_heartbeats, m.features, m.conversion.has_value(), c.values_left,
+                    c.values_converted, c.unreadable, c.values_per_s);
 }
 
 std::map<std::string, std::string> read_frames() {
