--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -89,8 +89,8 @@
   return true;
 }
 
-// A request over the rate limit is not sent. It fails as if the cloud had rejected it, so that the
-// caller retries it.
+// A request over the rate limit is not sent. It fails after a delay, with the same error as a
+// request that the cloud rejects over its own rate limit, so that the caller retries it.
 void CloudClient::send_request(const std::string& method, const std::string& path,
                                const std::string& body, BodyCallback done) {
   if (!acquire_token()) {
--- a/src/config/upgrade_settings.cc
+++ b/src/config/upgrade_settings.cc
@@ -44,14 +44,14 @@
 
 std::vector<MaintenanceWindow> read_windows(TomlReader& reader, const toml::table& table) {
   std::vector<MaintenanceWindow> windows;
-  const std::string list = "upgrade.automatic.windows";
+  const std::string list_path = "upgrade.automatic.windows";
   const auto* entries = table.get_as<toml::array>("windows");
   if (!entries || entries->empty()) {
-    reader.add_problem(list, "must be a list of tables");
+    reader.add_problem(list_path, "must be a list of tables");
     return windows;
   }
   for (std::size_t i = 0; i < entries->size(); ++i) {
-    const std::string path = entry_path(list, i);
+    const std::string path = entry_path(list_path, i);
     const auto* entry = reader.entry(*entries, i, path);
     if (!entry) continue;
     MaintenanceWindow window;
--- a/src/constants.h
+++ b/src/constants.h
@@ -8,18 +8,19 @@
 
 namespace eiderreel {
 
-/// Milliseconds: a duration, or a point in time of the steady clock.
+/// Milliseconds: a duration, or a point in time of the steady clock unless the wall clock is named.
 using Ms = std::int64_t;
 
 namespace constants {
 
 // --- Clocks ---------------------------------------------------------------------------------
-// Twice the 0.05 % by which the protocol allows a clock to run fast or slow.
+// Largest drift between two clocks: twice the 0.05 % by which the protocol allows a clock to run
+// fast or slow.
 constexpr double kClockDriftShare = 0.001;
 // Added to a worker's lease before the lease counts as expired. Covers timer resolution and slow
 // processing at both ends.
 constexpr Ms kWorkerLeaseMarginMs = 250;
-// Interval of all periodic work; short enough to end deferred heartbeats on time.
+// Interval of all periodic work; short enough to answer deferred heartbeats on time.
 constexpr Ms kTickMs = 50;
 
 // --- Leases and partitions ------------------------------------------------------------------
@@ -33,8 +34,8 @@
 constexpr Ms kClaimDelayPreferredAliveMs = 2500;
 // Delay before claiming a vacant partition whose preferred leader is gone.
 constexpr Ms kClaimDelayPreferredLostMs = 300;
-// Without any heartbeat for this long beyond the time in which every machine sends one, a
-// controller counts as cut off from the workers.
+// Added to the time in which every machine sends a heartbeat. A controller that has received none
+// for longer than the sum counts as cut off from the workers.
 constexpr Ms kWorkerSilenceMarginMs = 1000;
 // Interval at which a controller that receives no heartbeats probes a worker.
 constexpr Ms kProbeIntervalMs = 500;
@@ -47,8 +48,8 @@
 constexpr Ms kRebalanceIntervalMs = 1000;
 // Time for which a cordon request holds; the request is repeated while the reason for it persists.
 constexpr Ms kCordonTtlMs = 3000;
-// Time for which a peer that grants a vote does not claim the partitions. Short, because a
-// restarted process has to wait for it to expire.
+// Time for which a peer that grants a vote does not claim the requester's partitions. Short,
+// because a restarted process has to wait for it to expire.
 constexpr Ms kVoteTtlMs = 3000;
 // Interval of vote requests; allows several while one vote is valid.
 constexpr Ms kVoteRequestIntervalMs = 500;
@@ -100,8 +101,8 @@
 constexpr int kJobFailureMachines = 3;
 // Time for which a service waits for a machine that has its image.
 constexpr Ms kServiceImageWaitMs = 900;
-// Machines whose services use less than this share of the CPUs that services use on the fullest
-// machine are passed over in favour of fuller ones.
+// A service is not started on a machine whose services use less than this share of the CPUs that
+// services use on the fullest machine; it waits for a fuller one instead.
 constexpr double kFullestServiceShare = 0.7;
 // Waiting for a fuller machine pays off if at least this many machines run services: nearly always
 // one of them sends its heartbeat in time.
@@ -114,7 +115,8 @@
 constexpr double kServiceHeadroomReplicas = 2;
 // Time for which a job array waits for fuller machines.
 constexpr Ms kArrayPackWaitMs = 1500;
-// Waiting time before preemption; long enough for several machines to send a heartbeat.
+// Time that a job waits before it may preempt tasks of lower priority; long enough for several
+// machines to send a heartbeat.
 constexpr Ms kPreemptionDelayMs = 250;
 // A fair share is reclaimed this long before its objective would be missed.
 constexpr Ms kReclaimMarginMs = 1000;
@@ -131,10 +133,11 @@
 constexpr Ms kQueueSortIntervalMs = 250;
 // Time from start to running that is added to a task's estimated run time.
 constexpr Ms kStartAllowanceMs = 3000;
-// Latest start, after it became ready, of a job with neither an objective nor a deadline.
+// Latest start of a job with neither an objective nor a deadline, counted from when it became
+// ready.
 constexpr Ms kDefaultLatestStartMs = 300000;
-// After this multiple of the time up to its last objective, a late job is sorted as if it had
-// missed no objective.
+// A late job that is older than this multiple of the time from its submission to its last target
+// time is sorted as if it had missed no objective.
 constexpr int kOverdueObjectiveFactor = 4;
 // Low bits of an attempt number, which hold a counter; the bits above hold the fencing token.
 constexpr int kAttemptCounterBits = 24;
@@ -178,7 +181,7 @@
 constexpr Ms kProgressIntervalMs = 3000;
 // Features of this build, published in the controller's record. Bit 0: supports prerequisites.
 constexpr std::uint64_t kBuildFeatureBits = 1;
-// Protocol: preconditions allowed in a transaction for each change allowed in it.
+// Protocol: the limit of a transaction's preconditions, as a multiple of its limit of changes.
 constexpr int kPreconditionsPerChange = 4;
 // Final records in one read; a job rarely has more prerequisites.
 constexpr int kFinalRecordPageItems = 100;
@@ -188,8 +191,8 @@
 constexpr std::size_t kRecordOverheadBytes = 200;
 // Limit of a transaction's values; the rest of the protocol's 64 KiB is for preconditions.
 constexpr std::size_t kTransactionBytes = 50000;
-// Chunks without a job are deleted at this age; the commit that accepts their job cannot be pending
-// any more.
+// Prerequisite chunks without a job are deleted at this age; by then, the commit that would accept
+// their job cannot be pending any more.
 constexpr Ms kOrphanedChunkAgeMs = 600000;
 // Waiting jobs listed in /status.
 constexpr std::size_t kMaxStatusWaitingJobs = 20;
@@ -199,13 +202,13 @@
 constexpr std::uint32_t kProgressChunkTasks = 32768;
 // Finished jobs that are cached; older ones are read from the state store.
 constexpr std::size_t kMaxCachedFinalJobs = 20000;
-// Finished jobs that are kept to be sent along with a vote: minutes of a busy day, where a leader
-// lags by seconds.
+// Finished jobs that are kept to be sent along with a vote: those of the last minutes on a busy
+// day, while a leader's view of them is only seconds behind.
 constexpr std::size_t kMaxRecentFinishedJobs = 2000;
 
 // --- Upgrades -------------------------------------------------------------------------------
-// Delay before a write that was refused because of a version change is retried; one reply is enough
-// to learn the new version.
+// Delay before a write that was refused because of a version change is retried; long enough for the
+// reply to this controller's write of its node record, which confirms the new version.
 constexpr Ms kVersionRetryDelayMs = 50;
 // Attempts of an upgrade step; its operator gets a reply within two timeouts of the state store.
 constexpr int kMaxStepAttempts = 2;
@@ -213,7 +216,7 @@
 constexpr Ms kAutomaticStepIntervalMs = 10000;
 // Steps kept in the history; older ones are deleted.
 constexpr std::size_t kMaxHistoryRecords = 200;
-// Largest record of a step in the history; below the smallest limit of a value.
+// Largest record of a step in the history; below kMinValueKib, the smallest limit of a value.
 constexpr std::size_t kMaxHistoryRecordBytes = 900;
 // Time constant of the average rate of a conversion.
 constexpr Ms kConversionRateAveragingMs = 10000;
@@ -231,13 +234,14 @@
 // --- HTTP API -------------------------------------------------------------------------------
 // Protocol: largest body of a request.
 constexpr std::size_t kMaxBodyBytes = 65536;
-// A longer body is not read at all; up to this size it is answered with 413.
+// Largest body that is read: one above kMaxBodyBytes is answered with 413, and one above this size
+// is not read at all.
 constexpr std::size_t kMaxBodyReadBytes = 131072;
 // Protocol: largest number of tasks of a job.
 constexpr std::uint32_t kMaxJobTasks = 100000;
 // Timeout of a query to a peer; a user waits 2 s for a poll, which allows two attempts.
 constexpr Ms kPeerQueryTimeoutMs = 700;
-// An older answer about an open job is rejected as stale.
+// The answer to a poll of an open job is rejected as stale if its query was sent longer ago.
 constexpr Ms kMaxOpenAnswerAgeMs = 700;
 // Retry-After header of refused requests.
 constexpr int kRetryAfterS = 1;
@@ -292,9 +296,10 @@
 // Machines are drained for work that has waited this long; well below the 90 s that a job may wait
 // while there is room elsewhere.
 constexpr double kDrainAfterS = 70;
-// Less waiting work is not worth moving machines.
+// Fewest CPUs for which machines are cordoned; less waiting work is not worth moving machines.
 constexpr double kMinCordonCpus = 8;
-// Share of the machines that is distributed by fair shares alone.
+// Share of the machines' CPUs that is divided among the partitions by fair share, regardless of
+// their waiting work.
 constexpr double kFairShareBaseShare = 0.5;
 // Interval of scaling decisions.
 constexpr Ms kScalingIntervalMs = 1000;
--- a/src/fleet/fleet_manager.h
+++ b/src/fleet/fleet_manager.h
@@ -1,6 +1,6 @@
-// The fleet manager: the machines that are rented from the cloud. Only the cluster leader, which is
-// the leader of partition 0, manages them: it assigns new machines to partitions, rebalances
-// machines between partitions, and scales out and in. Every controller reads the catalog.
+// The fleet manager, which manages the machines that are rented from the cloud. Every controller
+// reads the catalog. Only the cluster leader, which is the leader of partition 0, assigns new
+// machines to partitions, rebalances machines between partitions, and scales out and in.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -41,7 +41,7 @@
   /// Runs the components whose intervals have elapsed. Called every constants::kTickMs.
   void tick();
   /// Handles the heartbeat of a machine without a partition; called on the cluster leader. The
-  /// reply is sent when the machine has been assigned, or is 503 if it is not assigned.
+  /// reply is sent when the machine has been assigned; if the assignment fails, it is a 503.
   void assign(const Heartbeat& heartbeat, Reply reply);
 
   /// Number of machines that this process has provisioned.
--- a/src/leadership/progress_plan.h
+++ b/src/leadership/progress_plan.h
@@ -51,8 +51,9 @@
 /// The changes of one commit.
 struct ProgressBatch {
   std::vector<ProgressValue> writes;
-  std::vector<std::string> deletes;     ///< keys
-  std::vector<std::uint32_t> recorded;  ///< the tasks to record that `writes` contains
+  std::vector<std::string> deletes;  ///< keys
+  /// Those of the tasks to record that `writes` records; empty for a conversion.
+  std::vector<std::uint32_t> recorded;
 
   /// Whether there is nothing to write.
   bool empty() const { return size() == 0; }
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -9,7 +9,8 @@
 
 namespace eiderreel {
 
-/// Priorities in ascending order. Jobs of a higher priority may preempt jobs of a lower one.
+/// Priorities in ascending order. A job above `standard` may preempt tasks of jobs of any lower
+/// priority.
 enum class Priority : std::uint8_t { best_effort, standard, high, production };
 
 /// A job array runs each of its tasks to completion; a service runs its replicas until it is
@@ -39,10 +40,10 @@
   std::string image;
   double image_gb = 0;
   double estimate_s = 0;    // estimated run time of a task without image fetch; often wrong
-  double checkpoint_s = 0;  // progress of a task between its own checkpoints; 0: it has none
+  double checkpoint_s = 0;  // run time between checkpoints that a task takes by itself; 0: none
   double save_s = 0;        // time that a task needs to save its progress when stopped
   std::optional<double> deadline_s;  // counted from the submission
-  Ms accepted_at = 0;                // time of day of the acceptance, by the accepting node's clock
+  Ms accepted_at = 0;  // wall-clock time of the acceptance, by the accepting controller's clock
   std::vector<std::string> prerequisites;  // ids of jobs that must be done before any task starts
 };
 
--- a/src/peer_rpc/decode.cc
+++ b/src/peer_rpc/decode.cc
@@ -109,8 +109,8 @@
     case wire::Envelope::VOTE:
       return read(envelope.getVote());
   }
-  // The message has a type that only later builds know. It is decoded as an empty JobQuery, like in
-  // earlier builds.
+  // The message has a type that was added by a later build. It is decoded as an empty JobQuery, as
+  // in earlier builds.
   return {};
 }
 
--- a/src/scheduler/draining.cc
+++ b/src/scheduler/draining.cc
@@ -19,16 +19,18 @@
     if (machine->reconciled && machine->heartbeat_received && !machine->lease_expired &&
         !machine->transferring && machine->type && (drain || machine->service_cpus == 0))
       candidates.push_back(machine.get());
-  // Machines that are cordoned already (for a drain: drained already) come first, then the
-  // emptiest. For a drain, the end of the last array task is compared first: the soonest comes
-  // first.
-  const auto key = [now, drain](const ScheduledMachine* machine) {
+  // Machines that are cordoned already (for a drain: that are being drained already) come first.
+  // Further criteria are the end of the last array task, soonest first (only for a drain), and then
+  // the CPUs used by services and by all tasks, emptiest first.
+  const auto sort_key = [now, drain](const ScheduledMachine* machine) {
     return std::tuple((drain ? machine->drain_until : machine->cordoned_until) < now,
                       drain ? std::max(now, machine->arrays_end_at()) : 0, machine->service_cpus,
                       machine->used.cpus, machine->id);
   };
   std::sort(candidates.begin(), candidates.end(),
-            [&](const ScheduledMachine* a, const ScheduledMachine* b) { return key(a) < key(b); });
+            [&](const ScheduledMachine* a, const ScheduledMachine* b) {
+              return sort_key(a) < sort_key(b);
+            });
   for (ScheduledMachine* machine : candidates) {
     if (machine->type->cpus > cpus) continue;
     cpus -= machine->type->cpus;
@@ -37,8 +39,9 @@
   }
 }
 
-// The replica starts on another machine once a heartbeat has shown that it is gone from this one.
-// Replicas are moved one at a time, so that a service with several replicas is never down.
+// A stopped replica is started on another machine once a heartbeat has shown that it no longer runs
+// on this one. Replicas are moved one at a time, so that a service with several replicas is never
+// down.
 void Draining::move_service(ScheduledMachine& machine, const UnreconciledMachines& unreconciled,
                             Ms now, std::vector<Command>& commands) const {
   if (machine.drain_until <= now || !machine.schedulable(now)) return;
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -22,8 +22,8 @@
          free.memory_gb + kRoundingTolerance >= spec.memory_gb;
 }
 
-// The resources that are free when the launches of the same reply are executed. Tasks that are to
-// stop without saving count as gone, as the worker stops them before it starts others.
+// The resources that are free when the launches of the same reply are executed. Tasks that are
+// being stopped without a save count as gone, as the worker stops them before it starts others.
 Resources free_before_launches(const ScheduledMachine& machine) {
   Resources free = Resources::of(*machine.type);
   for (const auto& [key, task] : machine.tasks)
@@ -33,13 +33,13 @@
 
 }  // namespace
 
-// Jobs may preempt only after a wait in which the heartbeat of another machine may have shown free
-// room for them.
+// A job may preempt only after a wait, during which the heartbeat of another machine may have shown
+// free room for the job.
 void Preemption::make_room(ScheduledMachine& machine, const UnreconciledMachines& unreconciled,
                            Ms now, std::vector<Command>& commands) {
-  // A fair share is reclaimed no sooner than its start objective requires. Most borrowing tasks end
-  // by themselves before that; when they were preempted at once, most of the late arrays were late
-  // because their last tasks had been stopped repeatedly.
+  // A fair share is reclaimed no sooner than its start objective requires, since most tasks on
+  // borrowed capacity end by themselves before that. Immediate preemption stopped the last tasks of
+  // arrays repeatedly, which was the cause of most late arrays.
   const Ms reclaim_after_ms =
       std::max(constants::kMinReclaimDelayMs, inputs_.policy.fair_share_start_ms -
                                                   constants::kReclaimMarginMs -
@@ -49,8 +49,9 @@
     const Ms waited_ms = now - job->waiting_since;
     const bool by_priority =
         job->priority > Priority::standard && waited_ms >= constants::kPreemptionDelayMs;
-    // No preemption for tasks that fit into free room on machines whose next heartbeat is still to
-    // come. Without this check, some jobs had every one of their tasks stopped without need.
+    // A fair share is not reclaimed while the queued tasks fit into the free room of machines whose
+    // next heartbeat is still to come. Without this check, all tasks of some jobs were preempted
+    // needlessly.
     const bool by_fair_share = waited_ms >= reclaim_after_ms && within_fair_share(*job) &&
                                job->queued_cpus() > inputs_.totals.free_cpus_for(*job);
     if (!by_priority && !by_fair_share) continue;
@@ -90,8 +91,8 @@
   return all_stopped_at_once;
 }
 
-// Returns the tasks to stop so that a task of the job fits, or none if stopping all candidates does
-// not free enough.
+// Returns the tasks to stop so that a task of the job fits, or std::nullopt if stopping all
+// candidates does not free enough.
 std::optional<std::vector<Preemption::Victim*>> Preemption::choose_victims(
     ScheduledMachine& machine, const ScheduledJob& job, PreemptionReason reason, Ms now) const {
   Resources free = free_before_launches(machine);
--- a/src/state_store/compare_and_swapper.cc
+++ b/src/state_store/compare_and_swapper.cc
@@ -110,8 +110,9 @@
 
 // ------------------------------------------------------------------------- version binding
 
-// Sends nothing, because this controller has no valid node record to which the transaction could be
-// bound. An in-doubt transaction is retried later, since an earlier attempt may have been executed.
+// Sends nothing: this controller has no node record or is in standby, so there is no valid record
+// to which the transaction could be bound. An in-doubt transaction is not refused but retried
+// later, since an earlier attempt may have been executed.
 void CompareAndSwapper::end_without_record(const PendingTransactionPtr& pending) {
   const bool in_doubt = pending->transaction.in_doubt;
   if (in_doubt && pending->attempts_left > 1) {
@@ -137,8 +138,7 @@
   retry(pending, version_updated ? 0 : k::kVersionRetryDelayMs);
 }
 
-// ------------------------------------------------------------------------- resolving in-doubt
-// transactions
+// ----------------------------------------------------------------- in-doubt transactions
 
 // The preconditions failed after an attempt with an unknown outcome: reads the first written key to
 // find out whether that attempt wrote its value.
@@ -156,8 +156,9 @@
   });
 }
 
-// Revisions only grow, so an earlier attempt with preconditions on revisions can no longer be
-// executed. One with a precondition on the absence of a key can, once that key is deleted.
+// Revisions only grow, so a failed precondition on a revision never holds again, and no earlier
+// attempt can be executed any more. A failed precondition on the absence of a key holds again once
+// that key is deleted, so an earlier attempt may still be executed then.
 void CompareAndSwapper::on_read_back(const PendingTransactionPtr& pending,
                                      const codec::StateRow& row) {
   const CompareAndSwap& transaction = pending->transaction;
--- a/src/upgrade/messages.h
+++ b/src/upgrade/messages.h
@@ -30,7 +30,7 @@
   ClusterVersion from = kFirstVersion;
   std::optional<ClusterVersion> to;
   StepOutcome outcome = StepOutcome::refused;
-  std::vector<std::string> without;
+  std::vector<std::string> without;  // controllers that the operator declared gone
   std::vector<std::string> obstacles;
 };
 
@@ -40,11 +40,11 @@
   StepPlan plan;
 };
 
-/// Progress of the conversion, summed over the controllers that this controller has reports from.
+/// Progress of the conversion, summed over the controllers whose reports this controller has.
 struct ConversionReport {
   std::optional<ProgressForm> to;  // std::nullopt if no conversion is in progress
   ConversionProgress sum;
-  std::vector<int> unknown_partitions;  // without a report from a leader
+  std::vector<int> unknown_partitions;  // those for which no leader has sent a report
 };
 
 /// The state of the cluster version as one controller sees it.
