--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -1,5 +1,6 @@
-// Cancellations under faults: whatever happens to controllers, machines and messages, the tasks of
-// a cancelled job are gone within the time the protocol allows.
+// Cancellations under faults of controllers, machines, messages and the state store: the tasks of a
+// cancelled job end within the time the protocol allows, and no status poll contradicts a confirmed
+// cancellation.
 #include "standin/expectations.h"
 
 using namespace eiderreel;
@@ -7,7 +8,7 @@
 
 namespace {
 
-// A deployment whose machines heartbeat so seldom that two leases outlast a cancellation.
+// Heartbeats so rare that two leases last longer than the time allowed for a cancellation.
 Options slow_heartbeats(std::uint64_t seed) {
   Options options;
   options.seed = seed;
@@ -19,19 +20,20 @@
 
 class CancellationDuringNetworkPartition : public testing::TestWithParam<std::uint64_t> {
  public:
-  static constexpr double kCancelled = 30;
-  static constexpr double kHealed = kCancelled + 18.5;  // within the leases of most machines
+  static constexpr double kCancelledAtS = 30;
+  static constexpr double kHealedAtS = kCancelledAtS + 18.5;  // before most leases expire
 };
 
-// Machines are cut off when a job of theirs is cancelled, and its leader ends. They are back within
-// their leases, and the next leader sends them its fencing token, which renews the lease. Before
-// they send a heartbeat again they are cut off once more, for longer than that lease lasts.
+// Guards against tasks that outlive a cancellation because a lease was renewed without the kills.
+// The machines are isolated when their job is cancelled, and the leader crashes. They reconnect
+// within their leases, and the new leader's first reply renews the lease with a new fencing token.
+// Each machine is isolated again before its next heartbeat, for longer than that lease.
 TEST_P(CancellationDuringNetworkPartition, ReplyWithANewFencingTokenCarriesKills) {
   SimulatedCluster cluster(slow_heartbeats(GetParam()));
   std::map<std::string, std::uint64_t> tokens;
-  std::size_t cut_off = 0;
+  std::size_t isolated_again = 0;
   cluster.at(5, [&] { cluster.submit(cluster.job("run-1", "blue", 24, 1, 400)); });
-  cluster.at(kCancelled - 0.1, [&] {
+  cluster.at(kCancelledAtS - 0.1, [&] {
     const auto machines = cluster.machines_of("run-1");
     ASSERT_EQ(machines.size(), 24u);
     for (const auto& machine : machines) {
@@ -39,23 +41,23 @@
       tokens[machine] = cluster.token_of(machine);
     }
   });
-  cluster.at(kCancelled, [&] { cluster.cancel("run-1"); });
-  cluster.at(kCancelled + 2, [&] {
+  cluster.at(kCancelledAtS, [&] { cluster.cancel("run-1"); });
+  cluster.at(kCancelledAtS + 2, [&] {
     ASSERT_GE(cluster.confirmed("run-1").node, 0);
     cluster.crash(cluster.leader_of(1), 60);
   });
-  cluster.at(kHealed, [&] { cluster.heal(); });
-  for (double time_s = kHealed; time_s < kHealed + 15; time_s += 0.05)
+  cluster.at(kHealedAtS, [&] { cluster.heal(); });
+  for (double time_s = kHealedAtS; time_s < kHealedAtS + 15; time_s += 0.05)
     cluster.at(time_s, [&] {
       for (auto& [machine, token] : tokens) {
         if (cluster.token_of(machine) == token) continue;
         token = cluster.token_of(machine);
-        ++cut_off;
+        ++isolated_again;
         cluster.cut({address(machine)}, {SimulatedCluster::all()}, CutMode::reset);
       }
     });
-  cluster.run_until(kCancelled + 60);
-  EXPECT_GE(cut_off, 2u);
+  cluster.run_until(kCancelledAtS + 60);
+  EXPECT_GE(isolated_again, 2u);
   EXPECT_EQ(cluster.tasks_on("run-1"), 0u);
   expect_rules_kept(cluster);
 }
@@ -63,29 +65,31 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, CancellationDuringNetworkPartition, testing::Values(1, 2, 3),
                          seed_name);
 
-// A leader pauses until its lease is over. What it finds first when it goes on, before its
-// own pace, is a job that was accepted meanwhile: no reason to answer the workers that still wait.
+// A leader pauses until its lease has expired. The first event it processes when it resumes, before
+// its own periodic work, is a job accepted in the meantime. That must not make it answer the
+// heartbeats that are still waiting.
 TEST(PausedLeader, AcknowledgesNoHeartbeatAfterItsLease) {
-  std::size_t met = 0;
+  std::size_t expired_leases = 0;
   for (int offset = 0; offset < 40; ++offset) {
     SimulatedCluster cluster({});
-    const double at = 20 + 0.05 * offset;
-    cluster.at(at, [&cluster] { cluster.freeze(1, 3.9); });
-    cluster.at(at + 0.01, [&cluster] {  // one at each controller
+    const double paused_at_s = 20 + 0.05 * offset;
+    cluster.at(paused_at_s, [&cluster] { cluster.freeze(1, 3.9); });
+    cluster.at(paused_at_s + 0.01, [&cluster] {  // one at each controller
       for (const char* id : {"run-1", "run-2", "run-3"})
         cluster.submit(cluster.job(id, "blue", 6, 1, 5));
     });
-    cluster.at(at + 3.89, [&] { met += !cluster.node(1)->partition_leader().is_acting_leader(1); });
+    cluster.at(paused_at_s + 3.89,
+               [&] { expired_leases += !cluster.node(1)->partition_leader().is_acting_leader(1); });
     cluster.run_until(60);
     for (const char* id : {"run-1", "run-2", "run-3"}) EXPECT_EQ(cluster.phase(id), "done");
-    expect_rules_kept(cluster, std::to_string(at));
+    expect_rules_kept(cluster, std::to_string(paused_at_s));
   }
-  EXPECT_GE(met, 5u);
+  EXPECT_GE(expired_leases, 5u);
 }
 
-// A controller that does not reach the leader asks the state store, which is slow. What it hears
-// may be older than the end of the job, which another controller has confirmed to the user
-// meanwhile.
+// A controller that cannot reach the leader answers a status poll from the state store, which is
+// slow. The value it reads may be older than a cancellation that another controller has confirmed
+// to the user in the meantime, and must not be returned.
 TEST(SlowStateStore, ReturnsNoStaleStatusAfterAConfirmedCancellation) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Options options;
@@ -106,10 +110,11 @@
   }
 }
 
-// A controller pauses between a poll and its reply. What it finds when it resumes is older than the
-// cancellation that another controller has confirmed meanwhile.
+// A controller pauses between a status poll and its reply. The status it has when it resumes is
+// older than a cancellation that another controller has confirmed in the meantime, and must not be
+// returned.
 TEST(PausedController, ReturnsNoStaleStatusAfterResuming) {
-  std::size_t met = 0;
+  std::size_t confirmed_while_paused = 0;
   for (int offset = 0; offset < 30; ++offset) {
     Options options;
     options.seed = static_cast<std::uint64_t>(offset);
@@ -120,16 +125,17 @@
                  [&cluster] { cluster.poll_once(0, "run-1", [](int, const std::string&) {}); });
     cluster.at(20.008 + 0.0005 * offset, [&cluster] { cluster.freeze(0, 2.5); });
     cluster.at(20.1, [&cluster] { cluster.cancel_at(2, "run-1"); });
-    cluster.at(22, [&] { met += cluster.confirmed("run-1").node >= 0; });
+    cluster.at(22, [&] { confirmed_while_paused += cluster.confirmed("run-1").node >= 0; });
     cluster.run_until(40);
     EXPECT_EQ(cluster.phase("run-1"), "cancelled");
     expect_rules_kept(cluster, std::to_string(offset));
   }
-  EXPECT_GE(met, 10u);
+  EXPECT_GE(confirmed_while_paused, 10u);
 }
 
-// Every direct command is held up: the kills that come with answers to heartbeats are enough, also
-// for tasks that were asked to checkpoint, for longer than a cancellation may take.
+// Direct commands are delayed for longer than a cancellation may take. The kills in heartbeat
+// replies must suffice, also for tasks that are saving a checkpoint whose grace period is longer
+// than that.
 TEST(DelayedCommands, KillsOfACancelledJobArriveWithHeartbeatReplies) {
   Options options;
   options.machines = 2;
@@ -142,12 +148,11 @@
     array.checkpoint_s = 5;
     array.save_s = 40;
     cluster.submit(array);
-    cluster.late_commands({1, 60, 61});  // beyond what a cancellation may take
+    cluster.late_commands({1, 60, 61});  // longer than a cancellation may take
   });
   cluster.at(12, [&cluster] {
     EXPECT_EQ(cluster.tasks_on("run-1"), 16u);
-    cluster.submit(
-        cluster.service("run-800", "blue", 1, 8));  // some of the array have to make room
+    cluster.submit(cluster.service("run-800", "blue", 1, 8));  // preempts some tasks of the array
   });
   cluster.at(20, [&cluster] {
     EXPECT_GE(cluster.lines(" saves run-1/"), 8u);
--- a/tests/chain_cancellation_test.cc
+++ b/tests/chain_cancellation_test.cc
@@ -1,4 +1,4 @@
-// Cancellations of jobs that others wait for, under faults.
+// Cancellations of jobs that have dependents, under faults.
 #include <array>
 
 #include "standin/chains.h"
@@ -13,27 +13,28 @@
 
 TEST_P(ChainCancellation, OfTheFirstJobCancelsAllDependents) {
   SimulatedCluster cluster(seeded(GetParam()));
-  std::map<std::string, int> repeated;
+  std::map<std::string, int> resubmission_counts;
   cluster.at(5, [&] { submit_pipeline(cluster, 60); });
   cluster.at(20, [&] { cluster.cancel("run-1"); });
-  for (double time_s : {20.0, 20.02, 20.1, 25.0})  // submitted during and after
+  for (double time_s : {20.0, 20.02, 20.1, 25.0})  // during and after the cancellation
     cluster.at(time_s, [&cluster, time_s] {
       const int n = 100 + static_cast<int>(time_s * 100) % 900;
       cluster.submit_chained(needing(cluster.job(id(n), "blue", 1), {"run-3"}));
     });
   cluster.at(35, [&] {
     for (int node = 0; node < 3; ++node)
-      cluster.raw(node, "POST", "/v1/jobs",
-                  submission_text(needing(cluster.job("run-3", "gold", 4), {"run-2"})),
-                  [&](int status, std::string body) { repeated[body] += status == 200; });
+      cluster.raw(
+          node, "POST", "/v1/jobs",
+          submission_text(needing(cluster.job("run-3", "gold", 4), {"run-2"})),
+          [&](int status, std::string body) { resubmission_counts[body] += status == 200; });
   });
   cluster.run_until(60);
   expect_phase(
       cluster,
       {"run-1", "run-2", "run-3", id(100 + 200), id(100 + 202), id(100 + 210), id(100 + 700)},
       "cancelled");
-  EXPECT_EQ(repeated[codec::job_status_body("run-3", {JobPhase::cancelled, 0, 0})], 3);
-  EXPECT_EQ(cluster.keys_under("e/job/"), 0u);  // each has a final record of its own
+  EXPECT_EQ(resubmission_counts[codec::job_status_body("run-3", {JobPhase::cancelled, 0, 0})], 3);
+  EXPECT_EQ(cluster.keys_under("e/job/"), 0u);  // each job has its own final record
   EXPECT_EQ(cluster.keys_under("e/final/"), 7u);
   expect_rules_kept(cluster);
 }
@@ -58,7 +59,8 @@
   expect_rules_kept(cluster);
 }
 
-// A cancellation meets the end of the same job: whichever it is, the jobs after it go the same way.
+// A cancellation races with the completion of the same job. Whichever wins, all dependents must end
+// in the same phase as that job.
 TEST_P(ChainCancellation, RacingWithCompletionHasOneOutcomeForTheChain) {
   std::size_t done = 0, cancelled = 0;
   for (int offset = 0; offset < 24; ++offset) {
@@ -66,62 +68,63 @@
     cluster.at(5, [&] { submit_pipeline(cluster, 5); });
     cluster.at(9.8 + 0.08 * offset, [&] { cluster.cancel("run-1"); });
     cluster.run_until(50);
-    const std::string end = cluster.phase("run-1");
-    (end == "done" ? done : cancelled) += 1;
-    expect_phase(cluster, {"run-1", "run-2", "run-3"}, end);
+    const std::string final_phase = cluster.phase("run-1");
+    (final_phase == "done" ? done : cancelled) += 1;
+    expect_phase(cluster, {"run-1", "run-2", "run-3"}, final_phase);
     expect_rules_kept(cluster, std::to_string(offset));
   }
   EXPECT_GT(done, 0u);
   EXPECT_GT(cancelled, 0u);
 }
 
-// The cancellation of the first job is confirmed to the user, and then nobody reaches the state
-// store for longer than a cancellation may take. Leaders that act under votes learn of the end with
-// them.
+// The state store becomes unavailable, for longer than a cancellation may take, as soon as the
+// cancellation of the first job is confirmed to the user. Leaders that act on votes of their peers
+// during the outage must learn of the cancellation from those votes.
 TEST_P(ChainCancellation, ReachesLeadersOfDependentsBeforeAnImmediateOutage) {
   Options options = seeded(GetParam());
   options.cancel_s = 15;
   SimulatedCluster cluster(options);
-  std::array<std::string, 3> told;
+  std::array<std::string, 3> polled_phases;
   cluster.at(5, [&] { submit_pipeline(cluster, 300); });
   cluster.at(20, [&] { cluster.cancel("run-1"); });
-  auto check = std::make_shared<std::function<void()>>();
+  auto await_confirmation = std::make_shared<std::function<void()>>();
   double outage_at = -1;
-  *check = [&cluster, &outage_at, &told, check] {
-    if (cluster.confirmed("run-1").node < 0) return cluster.at(cluster.now() + 0.002, *check);
+  *await_confirmation = [&cluster, &outage_at, &polled_phases, await_confirmation] {
+    if (cluster.confirmed("run-1").node < 0)
+      return cluster.at(cluster.now() + 0.002, *await_confirmation);
     outage_at = cluster.now();
     cluster.state_outage(true);
-    cluster.at(cluster.now() + 12, [&cluster, &told] {
+    cluster.at(cluster.now() + 12, [&cluster, &polled_phases] {
       for (int node = 0; node < 3; ++node)
-        poll_into(cluster, node, "run-3", told[static_cast<std::size_t>(node)]);
+        poll_into(cluster, node, "run-3", polled_phases[static_cast<std::size_t>(node)]);
     });
     cluster.at(cluster.now() + 30, [&cluster] { cluster.state_outage(false); });
   };
-  cluster.at(20.001, [check] { (*check)(); });
+  cluster.at(20.001, [await_confirmation] { (*await_confirmation)(); });
   cluster.run_until(100);
   ASSERT_GT(outage_at, 0);
-  for (const auto& phase : told) EXPECT_EQ(phase, "cancelled");
+  for (const auto& phase : polled_phases) EXPECT_EQ(phase, "cancelled");
   expect_phase(cluster, {"run-1", "run-2", "run-3"}, "cancelled");
   expect_rules_kept(cluster);
-  *check = [] {};
+  *await_confirmation = [] {};
 }
 
-// As before, and the leader of the dependents is cut off alone first: no controller answers for it
-// until the state store is back.
+// As above, but the state store rejects the leader of the dependents before the outage begins: no
+// controller can answer for its jobs until the state store is back.
 TEST_P(ChainCancellation, SurvivesAnIsolatedLeaderOfDependentsAndAnOutage) {
   Options options = seeded(GetParam());
   options.cancel_s = 15;
   SimulatedCluster cluster(options);
-  int refused = -1;
+  int rejected_node = -1;
   cluster.at(5, [&] { submit_pipeline(cluster, 300); });
   cluster.at(19, [&] {
-    refused = cluster.leader_of(2);
-    cluster.state_refuses(refused, true);
+    rejected_node = cluster.leader_of(2);
+    cluster.state_refuses(rejected_node, true);
   });
   cluster.at(20, [&] { cluster.cancel("run-1"); });
   cluster.at(21, [&] { cluster.state_outage(true); });
   cluster.at(45, [&] {
-    cluster.state_refuses(refused, false);
+    cluster.state_refuses(rejected_node, false);
     cluster.state_outage(false);
   });
   for (double time_s = 20; time_s < 80; time_s += 0.5)
@@ -135,8 +138,8 @@
   expect_rules_kept(cluster);
 }
 
-// The commit of a cancellation is held up while the job waits, and the last job that it needs ends
-// meanwhile: it is ready, and cancelled all the same.
+// The commit of a waiting job's cancellation is delayed, and its last prerequisite is done in the
+// meantime. The job becomes ready, but it must be cancelled and none of its tasks may start.
 TEST_P(ChainCancellation, WithUnknownCommitOutcomeStartsNothingWhenTheJobIsReady) {
   SimulatedCluster cluster(seeded(GetParam()));
   cluster.at(5, [&] { submit_pipeline(cluster, 9); });
@@ -145,35 +148,36 @@
   cluster.at(14.2, [&] { cluster.late_writes({}); });
   cluster.run_until(60);
   EXPECT_GE(cluster.without_answer(), 1u);
-  EXPECT_EQ(cluster.lines("job ready job=run-2"), 1u);  // it met
+  EXPECT_EQ(cluster.lines("job ready job=run-2"), 1u);  // the race occurred
   EXPECT_EQ(cluster.lines(" runs run-2/"), 0u);
   expect_phase(cluster, {"run-1"}, "done");
   expect_phase(cluster, {"run-2", "run-3"}, "cancelled");
   expect_rules_kept(cluster);
 }
 
-// The leader of a dependent can't be reached by the node that is asked, and lags behind it: only a
-// final record, or its leader, says that the dependent is cancelled.
+// A polled controller cannot reach the leader of a dependent, whose view of the state store is
+// stale. The controller may report the dependent as cancelled only from its final record or from
+// its leader's reply.
 TEST_P(ChainCancellation, IsNotConfirmedForADependentWhoseLeaderIsUnreachable) {
   SimulatedCluster cluster(seeded(GetParam()));
-  std::map<std::string, int> told;
+  std::map<std::string, int> reply_counts;
   cluster.at(5, [&] { submit_pipeline(cluster, 300); });
-  cluster.at(18, [&] { cluster.cut({"n0"}, {"n2"}, CutMode::reset); });  // the leader of run-3
+  cluster.at(18, [&] { cluster.cut({"n0"}, {"n2"}, CutMode::reset); });  // n2 leads run-3
   cluster.at(19.8, [&] { cluster.state_refuses(2, true); });             // for less than its lease
   cluster.at(20, [&] { cluster.cancel_at(0, "run-1"); });
   for (double time_s = 19; time_s < 40; time_s += 0.02)
     cluster.at(time_s, [&] {
       for (int node : {0, 1, 2})
         cluster.poll_once(node, "run-3", [&](int status, const std::string& phase) {
-          ++told[status == 200 ? phase : std::to_string(status)];
+          ++reply_counts[status == 200 ? phase : std::to_string(status)];
         });
     });
   cluster.at(23, [&] { cluster.state_refuses(2, false); });
   cluster.at(45, [&] { cluster.heal(); });
   cluster.run_until(70);
-  EXPECT_GT(told["queued"], 20);
-  EXPECT_GT(told["cancelled"], 20);
-  EXPECT_GT(told["503"], 5);
+  EXPECT_GT(reply_counts["queued"], 20);
+  EXPECT_GT(reply_counts["cancelled"], 20);
+  EXPECT_GT(reply_counts["503"], 5);
   expect_phase(cluster, {"run-1", "run-2", "run-3"}, "cancelled");
   expect_rules_kept(cluster);
 }
--- a/tests/chain_completion_test.cc
+++ b/tests/chain_completion_test.cc
@@ -1,4 +1,4 @@
-// The last prerequisite of a job is done at about the moment of a fault.
+// A job must run to completion when its last prerequisite is done at about the time of a fault.
 #include "standin/chains.h"
 
 using namespace eiderreel;
@@ -26,18 +26,19 @@
 
 class ChainCompletion : public testing::TestWithParam<std::tuple<Fault, std::uint64_t>> {};
 
-// The last prerequisite ends within the second around the fault, at offsets all through it.
+// run-1, the prerequisite of run-2, is done within about a second of the fault, which is injected
+// at offsets of 0.25 s. Completions within 1.5 s of the fault count as coinciding.
 TEST_P(ChainCompletion, CoincidesWithAFault) {
   const auto [fault, seed] = GetParam();
-  std::size_t met = 0;
+  std::size_t coinciding = 0;
   for (int offset = 0; offset < 6; ++offset) {
     SimulatedCluster cluster(seeded(seed * 10 + static_cast<std::uint64_t>(offset)));
-    double ended = -1;
-    const double at = 9.6 + 0.25 * offset;
-    if (fault == Fault::failback)  // given back to its preferred leader about when run-1 ends
-      cluster.at(at - 7.2, [&cluster] { cluster.crash(2, 2); });
+    double ready_at_s = -1;
+    const double fault_at_s = 9.6 + 0.25 * offset;
+    if (fault == Fault::failback)  // the failback is at about the time run-1 is done
+      cluster.at(fault_at_s - 7.2, [&cluster] { cluster.crash(2, 2); });
     cluster.at(5, [&] { submit_pipeline(cluster, 5); });
-    cluster.at(at, [&cluster, fault = fault] {
+    cluster.at(fault_at_s, [&cluster, fault = fault] {
       const int leader = cluster.leader_of(fault == Fault::leader_crashes ? 0 : 1);
       if (fault == Fault::leader_crashes || fault == Fault::dependents_leader_crashes)
         cluster.crash(std::max(leader, 0), 4);
@@ -45,17 +46,18 @@
         for (int n = 0; n < 3; ++n) cluster.crash(n, 1 + n);
       if (fault == Fault::outage) cluster.state_outage(true);
     });
-    if (fault == Fault::outage) cluster.at(at + 12, [&cluster] { cluster.state_outage(false); });
+    if (fault == Fault::outage)
+      cluster.at(fault_at_s + 12, [&cluster] { cluster.state_outage(false); });
     for (double time_s = 9; time_s < 40; time_s += 0.05)
       cluster.at(time_s, [&] {
-        if (ended < 0 && cluster.checker().ready("run-2")) ended = cluster.now();
+        if (ready_at_s < 0 && cluster.checker().ready("run-2")) ready_at_s = cluster.now();
       });
     cluster.run_until(100);
-    met += ended > 0 && std::abs(ended - at) < 1.5;
+    coinciding += ready_at_s > 0 && std::abs(ready_at_s - fault_at_s) < 1.5;
     expect_phase(cluster, {"run-1", "run-2", "run-3"}, "done");
     expect_rules_kept(cluster, std::to_string(offset));
   }
-  EXPECT_GE(met, 2u);
+  EXPECT_GE(coinciding, 2u);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/chain_scale_test.cc
+++ b/tests/chain_scale_test.cc
@@ -1,4 +1,4 @@
-// Large graphs of jobs that wait for others, and the limits of the state store.
+// Large dependency graphs, and the size and rate limits of the state store.
 #include "standin/chains.h"
 #include "standin/text.h"
 
@@ -9,7 +9,7 @@
 
 // ---------------------------------------------------------------------------------- large graphs
 
-// The limits of a small deployment as they will be.
+// State store limits of a small deployment: value size, operations in a transaction, request rates.
 Options small_limits(std::uint64_t seed) {
   Options options = seeded(seed);
   options.value_kb = 2;
@@ -20,27 +20,29 @@
   return options;
 }
 
-// So many small jobs that need run-1, one after the other.
-std::vector<std::string> submit_dependents(SimulatedCluster& cluster, int count, double every_s) {
-  std::vector<std::string> all;
+// Submits `count` small jobs that depend on run-1, one every `interval_s`, and returns their ids.
+std::vector<std::string> submit_dependents(SimulatedCluster& cluster, int count,
+                                           double interval_s) {
+  std::vector<std::string> dependents;
   for (int n = 0; n < count; ++n) {
-    all.push_back(id(1000 + n));
-    cluster.at(6 + every_s * n, [&cluster, n] {
+    dependents.push_back(id(1000 + n));
+    cluster.at(6 + interval_s * n, [&cluster, n] {
       cluster.submit_chained(needing(cluster.job(id(1000 + n), "blue", 1, 0.25, 1), {"run-1"}));
     });
   }
-  return all;
+  return dependents;
 }
 
-// Hundreds of dependents of one job, and one job that needs them all: its prerequisites do not fit
-// into one value. Everything restarts while they wait.
+// Hundreds of jobs depend on one job, and one job depends on all of them, so its prerequisites do
+// not fit into one value of the state store. All controllers restart while the jobs wait.
 TEST(LargeChain, HundredsOfDependentsFanIntoOneJob) {
-  constexpr int kMany = 300;
+  constexpr int kDependents = 300;
   SimulatedCluster cluster(small_limits(1));
   cluster.at(5, [&] { cluster.submit(cluster.job("run-1", "red", 1, 1, 60)); });
-  const auto all = submit_dependents(cluster, kMany, 0.08);
-  cluster.at(32,
-             [&] { cluster.submit_chained(needing(cluster.job("run-2", "gold", 1, 1, 1), all)); });
+  const auto dependents = submit_dependents(cluster, kDependents, 0.08);
+  cluster.at(32, [&] {
+    cluster.submit_chained(needing(cluster.job("run-2", "gold", 1, 1, 1), dependents));
+  });
   cluster.at(50, [&] {
     EXPECT_EQ(cluster.phase("run-2"), "queued");
     EXPECT_GE(cluster.keys_under("e/awaits/run-2/"), 2u);
@@ -48,25 +50,26 @@
   });
   cluster.run_until(240);
   EXPECT_EQ(cluster.refused_too_large(), 0u);
-  expect_phase(cluster, all, "done");
+  expect_phase(cluster, dependents, "done");
   expect_phase(cluster, {"run-2"}, "done");
-  EXPECT_EQ(cluster.keys_under("e/awaits/"), 0u);  // swept
+  EXPECT_EQ(cluster.keys_under("e/awaits/"), 0u);  // deleted by the sweep
   EXPECT_LT(cluster.slowest_acceptance(), 6);
   expect_rules_kept(cluster);
 }
 
-// One cancellation, one record: the answer does not wait for the hundreds after it.
+// A cancellation commits one record: its confirmation must not wait until the hundreds of
+// dependents are cancelled.
 TEST(LargeChain, CancellationIsConfirmedImmediatelyWithManyDependents) {
-  constexpr int kMany = 150;
+  constexpr int kDependents = 150;
   SimulatedCluster cluster(small_limits(2));
-  std::vector<std::string> all;
+  std::vector<std::string> dependents;
   cluster.at(5, [&] { cluster.submit(cluster.job("run-1", "red", 1, 1, 300)); });
-  for (int n = 0; n < kMany; ++n) {
-    all.push_back(id(1000 + n));
-    const std::string before = n % 10 ? id(1000 + n - 1) : "run-1";
-    cluster.at(6 + 0.1 * n, [&cluster, n, before] {
+  for (int n = 0; n < kDependents; ++n) {
+    dependents.push_back(id(1000 + n));
+    const std::string prerequisite = n % 10 ? id(1000 + n - 1) : "run-1";
+    cluster.at(6 + 0.1 * n, [&cluster, n, prerequisite] {
       cluster.submit_chained(
-          needing(cluster.job(id(1000 + n), n % 2 ? "blue" : "gold", 1, 1, 1), {before}));
+          needing(cluster.job(id(1000 + n), n % 2 ? "blue" : "gold", 1, 1, 1), {prerequisite}));
     });
   }
   cluster.at(40, [&] { cluster.cancel("run-1"); });
@@ -74,27 +77,27 @@
   cluster.run_until(100);
   EXPECT_GE(cluster.confirmed("run-1").at, 40);
   EXPECT_LT(cluster.confirmed("run-1").at, 40.5);
-  expect_phase(cluster, all, "cancelled");
+  expect_phase(cluster, dependents, "cancelled");
   expect_rules_kept(cluster);
 }
 
-// As many prerequisites as a request holds: accepted within a user's patience, spread over many
-// values, and refused if a single one was never accepted.
+// As many prerequisites as fit into a request: accepted within 5 s, stored in many values, and
+// rejected if a single one of them was never accepted as a job.
 TEST(LargeChain, OneJobWithThousandsOfPrerequisites) {
-  constexpr int kMany = 3000;
+  constexpr int kDependents = 3000;
   Options options = small_limits(4);
   options.state_rps = options.state_write_rps = 1000;
   SimulatedCluster cluster(options);
   cluster.at(5, [&] { cluster.submit(cluster.job("run-1", "red", 1, 1, 300)); });
-  const auto all = submit_dependents(cluster, kMany, 0.005);
-  int with_unknown = 0;
+  const auto dependents = submit_dependents(cluster, kDependents, 0.005);
+  int unknown_prerequisite_status = 0;
   cluster.at(24, [&] {
-    auto one_unknown = all;
-    one_unknown.push_back("run-99");
+    auto prerequisites = dependents;
+    prerequisites.push_back("run-99");
     cluster.raw(2, "POST", "/v1/jobs",
-                submission_text(needing(cluster.job("run-3", "gold", 1), one_unknown)),
-                [&](int status, std::string) { with_unknown = status; });
-    cluster.submit_chained(needing(cluster.job("run-2", "gold", 1), all));
+                submission_text(needing(cluster.job("run-3", "gold", 1), prerequisites)),
+                [&](int status, std::string) { unknown_prerequisite_status = status; });
+    cluster.submit_chained(needing(cluster.job("run-2", "gold", 1), dependents));
   });
   cluster.at(29.5, [&] {
     EXPECT_EQ(cluster.phase("run-2"), "queued");
@@ -104,16 +107,16 @@
   });
   cluster.at(30, [&] { cluster.cancel("run-1"); });
   cluster.run_until(60);
-  EXPECT_EQ(with_unknown, 422);
+  EXPECT_EQ(unknown_prerequisite_status, 422);
   EXPECT_LT(cluster.slowest_acceptance(), 5);
   EXPECT_LT(cluster.confirmed("run-1").at, 30.5);
   EXPECT_EQ(cluster.refused_too_large(), 0u);
   EXPECT_EQ(cluster.phase("run-2"), "cancelled");
-  for (const auto& job : all) ASSERT_EQ(cluster.phase(job), "cancelled") << job;
+  for (const auto& job : dependents) ASSERT_EQ(cluster.phase(job), "cancelled") << job;
   expect_rules_kept(cluster);
 }
 
-// A chain of a thousand, cancelled at its first job.
+// A chain of 1,000 jobs: cancelling the first job cancels all of them.
 TEST(LargeChain, ChainOfAThousandIsCancelledFromItsFirstJob) {
   constexpr int kLength = 1000;
   Options options = seeded(3);
@@ -135,8 +138,8 @@
 
 class LoweredLimits : public Seeds {};
 
-// A job whose progress fills several of the smaller values is half done when a failover meets the
-// lower limits.
+// A job whose stored progress needs several values under the lower limits is half done when the
+// limits are lowered during a failover.
 TEST_P(LoweredLimits, TakeEffectDuringAFailoverWithALargeJobInProgress) {
   Options options = seeded(GetParam());
   options.next_value_kb = 1;
--- a/tests/chains_test.cc
+++ b/tests/chains_test.cc
@@ -1,4 +1,4 @@
-// Jobs that wait for other jobs: the order in which they run, and how they are submitted.
+// Jobs with prerequisites: the order in which they run, and how they are submitted.
 #include "standin/chains.h"
 
 #include <array>
@@ -11,7 +11,8 @@
 
 namespace {
 
-std::size_t open_in_partitions(SimulatedCluster& cluster) {
+// Jobs held by the scheduling cores of all partitions.
+std::size_t scheduled_jobs(SimulatedCluster& cluster) {
   std::size_t jobs = 0;
   for (int n = 0; n < 3; ++n)
     if (cluster.node(n))
@@ -22,17 +23,17 @@
 
 TEST(Chain, StepsOfThreeTeamsRunInOrder) {
   SimulatedCluster cluster(seeded(1));
-  std::string waiting;
+  std::string last_job_phase;
   cluster.at(5, [&] { submit_pipeline(cluster, 5); });
   cluster.at(9, [&] {
-    poll_into(cluster, 1, "run-3", waiting);
-    EXPECT_EQ(open_in_partitions(cluster), 1u);  // what waits takes part in nothing
+    poll_into(cluster, 1, "run-3", last_job_phase);
+    EXPECT_EQ(scheduled_jobs(cluster), 1u);  // waiting jobs are not scheduled
     EXPECT_NE(
         status_json(*cluster.node(0)).find(R"("job":"run-3","prerequisites":1,"first":["run-2"])"),
         std::string::npos);
   });
   cluster.run_until(60);
-  EXPECT_EQ(waiting, "queued");
+  EXPECT_EQ(last_job_phase, "queued");
   EXPECT_EQ(cluster.lines("job ready job=run-2"), 1u);
   expect_phase(cluster, {"run-1", "run-2", "run-3"}, "done");
   expect_rules_kept(cluster);
@@ -40,12 +41,13 @@
 
 TEST(Chain, InvalidOrUnknownPrerequisiteIsRejected) {
   SimulatedCluster cluster(seeded(1));
-  std::map<std::string, int> answers;
-  auto submit = [&](const std::string& awaits, const std::string& job = "run-50") {
+  std::map<std::string, int> statuses;
+  auto submit = [&](const std::string& prerequisites_json, const std::string& job = "run-50") {
     std::string text = submission_text(cluster.job(job, "red", 1));
-    text.insert(text.size() - 1, ",\"awaits\":" + awaits);
-    cluster.raw(1, "POST", "/v1/jobs", text,
-                [&, awaits](int status, std::string) { answers[awaits] = status; });
+    text.insert(text.size() - 1, ",\"awaits\":" + prerequisites_json);
+    cluster.raw(1, "POST", "/v1/jobs", text, [&, prerequisites_json](int status, std::string) {
+      statuses[prerequisites_json] = status;
+    });
   };
   cluster.at(5, [&] { cluster.submit(cluster.job("run-1", "blue", 1, 1, 100)); });
   cluster.at(8, [&] {
@@ -58,40 +60,41 @@
     submit("[]", "run-52");
     submit("[\"run-1\",\"run-1\"]", "run-53");
   });
-  cluster.at(12, [&] { submit("[\"run-98\"]", "run-53"); });  // known, whatever it says now
+  cluster.at(12, [&] { submit("[\"run-98\"]", "run-53"); });  // accepted before, so body is ignored
   cluster.at(12, [&] { submit("[\"not an id\"]", "run-53"); });
   cluster.run_until(15);
   for (const char* invalid : {"\"run-1\"", "[7]", "[\"job-1\"]", "[[\"run-1\"]]", "{}"})
-    EXPECT_EQ(answers[invalid], 400) << invalid;
-  EXPECT_EQ(answers["[\"run-99\"]"], 422);
-  EXPECT_EQ(answers["[\"run-1\",\"run-99\"]"], 422);
-  EXPECT_EQ(answers["[\"run-50\"]"], 422);
-  EXPECT_EQ(answers["null"], 201);
-  EXPECT_EQ(answers["[]"], 201);
-  EXPECT_EQ(answers["[\"run-1\",\"run-1\"]"], 201);
-  EXPECT_EQ(answers["[\"run-98\"]"], 200);
-  EXPECT_EQ(answers["[\"not an id\"]"], 200);
+    EXPECT_EQ(statuses[invalid], 400) << invalid;
+  EXPECT_EQ(statuses["[\"run-99\"]"], 422);
+  EXPECT_EQ(statuses["[\"run-1\",\"run-99\"]"], 422);
+  EXPECT_EQ(statuses["[\"run-50\"]"], 422);
+  EXPECT_EQ(statuses["null"], 201);
+  EXPECT_EQ(statuses["[]"], 201);
+  EXPECT_EQ(statuses["[\"run-1\",\"run-1\"]"], 201);
+  EXPECT_EQ(statuses["[\"run-98\"]"], 200);
+  EXPECT_EQ(statuses["[\"not an id\"]"], 200);
 }
 
 TEST(Chain, PrerequisiteOfUnknownStatusIsRejectedImmediatelyDuringAnOutage) {
   SimulatedCluster cluster(seeded(1));
   int status = 0;
-  double answered = 0;
+  double answered_at_s = 0;
   cluster.at(20, [&] { cluster.state_outage(true); });
   cluster.at(22, [&] {
     cluster.raw(0, "POST", "/v1/jobs",
                 submission_text(needing(cluster.job("run-2", "red", 1), {"run-1"})),
                 [&](int code, std::string) {
                   status = code;
-                  answered = cluster.now();
+                  answered_at_s = cluster.now();
                 });
   });
   cluster.run_until(30);
   EXPECT_EQ(status, 503);
-  EXPECT_LT(answered, 22.5);
+  EXPECT_LT(answered_at_s, 22.5);
 }
 
-// Users set priority and deadline on the last job: what it needs goes before what nobody needs.
+// Users set priority and deadline on the last job of a chain. Its prerequisites must be scheduled
+// before jobs of lower urgency that have no dependents.
 TEST(Chain, PrerequisitesInheritTheUrgencyOfTheirDependents) {
   Options options = seeded(1);
   options.machines = 2;
@@ -100,15 +103,15 @@
   cluster.at(5, [&] { cluster.submit(cluster.job("run-9", "red", 16, 1, 12)); });
   cluster.at(6, [&] {
     for (int n : {1, 2}) {
-      JobSpec first = cluster.job(id(n), "red", 16, 1, 10);
-      first.priority = Priority::best_effort;
-      cluster.submit(first);
+      JobSpec prerequisite = cluster.job(id(n), "red", 16, 1, 10);
+      prerequisite.priority = Priority::best_effort;
+      cluster.submit(prerequisite);
     }
   });
   cluster.at(8, [&] {
-    JobSpec last = cluster.job("run-3", "red", 1, 1, 5);
-    last.priority = Priority::high;
-    cluster.submit_chained(needing(last, {"run-2"}));
+    JobSpec dependent = cluster.job("run-3", "red", 1, 1, 5);
+    dependent.priority = Priority::high;
+    cluster.submit_chained(needing(dependent, {"run-2"}));
   });
   cluster.run_until(29);
   expect_phase(cluster, {"run-2", "run-3"}, "done");
@@ -118,7 +121,8 @@
 
 class ChainSubmission : public Seeds {};
 
-// Each job right after the acceptance of the one before, through another node, whose view lags.
+// Each job is submitted as soon as its prerequisite is accepted, through another controller whose
+// view of the state store is stale.
 TEST_P(ChainSubmission, ThroughControllersWithStaleViews) {
   SimulatedCluster cluster(seeded(GetParam()));
   std::array<int, 6> status{};
@@ -142,10 +146,11 @@
   expect_rules_kept(cluster);
 }
 
-// The last job is submitted when all others are over long since, and no node has read their ends.
+// Jobs are submitted after their prerequisites have ended and all controllers have restarted, so
+// that no controller has read the final records.
 TEST_P(ChainSubmission, AfterAFullRestartWhenPrerequisitesHaveEnded) {
   SimulatedCluster cluster(seeded(GetParam()));
-  int status = 0, unknown = 0;
+  int status = 0, unknown_prerequisite_status = 0;
   cluster.at(5, [&] {
     cluster.submit(cluster.job("run-1", "red", 2, 1, 3));
     cluster.submit(cluster.job("run-2", "blue", 2, 1, 300));
@@ -159,20 +164,22 @@
     cluster.submit(needing(cluster.job("run-4", "gold", 2, 1, 3), {"run-1", "run-2"}));
     cluster.raw(1, "POST", "/v1/jobs",
                 submission_text(needing(cluster.job("run-5", "gold", 1), {"run-1", "run-77"})),
-                [&](int code, std::string) { unknown = code; });
+                [&](int code, std::string) { unknown_prerequisite_status = code; });
   });
   cluster.at(36, [&] {
     cluster.raw(2, "GET", "/v1/jobs/run-4", "", [&](int code, std::string) { status = code; });
   });
   cluster.run_until(70);
-  EXPECT_TRUE(unknown == 422 || unknown == 503) << unknown;
+  EXPECT_TRUE(unknown_prerequisite_status == 422 || unknown_prerequisite_status == 503)
+      << unknown_prerequisite_status;
   EXPECT_EQ(status, 200);
   expect_phase(cluster, {"run-3"}, "done");
   expect_phase(cluster, {"run-4"}, "cancelled");
   expect_rules_kept(cluster);
 }
 
-// A controller that the state store refuses alone can't say whether a job was ever accepted.
+// A controller rejected by the state store cannot tell whether a prerequisite was ever accepted: it
+// must answer 503.
 TEST_P(ChainSubmission, ThroughAControllerTheStateStoreRejects) {
   SimulatedCluster cluster(seeded(GetParam()));
   int status = 0;
@@ -191,7 +198,7 @@
   expect_rules_kept(cluster);
 }
 
-// Half done when all controllers end.
+// All controllers crash while the chain is half done.
 TEST_P(ChainSubmission, BeforeAFullRestart) {
   SimulatedCluster cluster(seeded(GetParam()));
   cluster.at(5, [&] {
