--- a/tests/at_scale_test.cc
+++ b/tests/at_scale_test.cc
@@ -1,4 +1,4 @@
-// More machines and jobs than the other days have, under the rate limits of the state store.
+// More machines and jobs than in the other tests, under the rate limits of the state store.
 #include <array>
 #include <cmath>
 
@@ -9,9 +9,10 @@
 
 namespace {
 
-// At size: all controllers end at once, and a single one is back for a while; then a rack falls
-// with all that is on it, and new machines come up together. No lease ends but those of the rack,
-// and nobody is forgotten.
+// All controllers crash at once, and a single one serves all partitions until the others restart.
+// Then 40 machines fail together, as in the failure of a rack, and their replacements boot
+// together. No lease may expire except on the failed machines, every job must be
+// done, and every controller must report its phase.
 TEST(AtScale, OneControllerServesAllAndARackFails) {
   Options options;
   options.machines = 120;
@@ -35,7 +36,7 @@
     cluster.crash(2, 0.3);
   });
   cluster.run_until(50);
-  expect_no_lease_ends(cluster);
+  expect_no_lease_expired(cluster);
   for (int i = 0; i < 40; ++i) cluster.kill_machine(machine(i));
   cluster.run_until(150);
   cluster.checker().faults_over(60);
@@ -44,20 +45,20 @@
   expect_all_answered(cluster, ids);
 }
 
-// At size: machines that come up together cost few transactions, and users are not kept waiting by
-// the progress of arrays, within a state store that refuses what is over its rate.
-struct Strain {
-  double changes_a_second, slowest_acceptance_s;
-  std::size_t refused;
+// The state store rejects requests over its rate limits. Machines that boot together must cost few
+// transactions, and the progress records of arrays must not delay user requests.
+struct RateLimitCase {
+  double max_changes_per_s, max_acceptance_s;
+  std::size_t max_refused;
 };
 
-class TokenBucket : public testing::TestWithParam<Strain> {};
+class TokenBucket : public testing::TestWithParam<RateLimitCase> {};
 
 TEST_P(TokenBucket, UserRequestsTakePrecedenceOverProgress) {
   Options options;
   options.machines = 90;
   options.limits = true;
-  options.state_write_rps = GetParam().changes_a_second;
+  options.state_write_rps = GetParam().max_changes_per_s;
   options.state_rps = 60;
   options.teams = {{"red", 160, 240, 0, 0}, {"blue", 160, 240, 0, 0}, {"gold", 160, 240, 0, 0}};
   SimulatedCluster cluster(options);
@@ -73,16 +74,17 @@
     }
   cluster.run_until(140);
   expect_rules_kept(cluster);
-  EXPECT_LT(cluster.slowest_acceptance(), GetParam().slowest_acceptance_s);
-  EXPECT_LT(cluster.refused_over_limit(), GetParam().refused);
+  EXPECT_LT(cluster.slowest_acceptance(), GetParam().max_acceptance_s);
+  EXPECT_LT(cluster.refused_over_limit(), GetParam().max_refused);
   for (int i = 4; i <= n; i += 4) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done") << i;
 }
 
-// At 12 changes a second progress alone would take more than there is: 1.2 s when it goes first.
+// At 12 changes a second progress records alone exceed the rate: an acceptance takes 1.2 s if they
+// have precedence.
 INSTANTIATE_TEST_SUITE_P(Rates, TokenBucket,
-                         testing::Values(Strain{20, 0.3, 30}, Strain{12, 0.9, 60}),
+                         testing::Values(RateLimitCase{20, 0.3, 30}, RateLimitCase{12, 0.9, 60}),
                          [](const auto& info) {
-                           return std::to_string(std::lround(info.param.changes_a_second)) +
+                           return std::to_string(std::lround(info.param.max_changes_per_s)) +
                                   "ChangesPerSecond";
                          });
 
--- a/tests/concurrent_faults_test.cc
+++ b/tests/concurrent_faults_test.cc
@@ -1,7 +1,7 @@
-// Days on which two faults meet. Each is run for several seeds, asserts that the faults met, and
-// then that no rule was violated.
-// Each case is a day in the simulated cluster: a load, its faults, and what shows that they met.
-// The faults are over at `over`; from then on every rule holds.
+// Scenarios with two concurrent faults in the simulated cluster. Each has a load, a script of
+// faults and a check that the faults did coincide. It runs for several seeds, and no rule may be
+// violated. The last fault ends at `faults_end_s`; from then on the rules that depend on a
+// fault-free cluster apply too.
 #include "standin/expectations.h"
 
 using namespace eiderreel;
@@ -10,20 +10,20 @@
 namespace {
 
 struct Load {
-  std::vector<std::string> end;  // arrays that must be done at the end
-  std::vector<std::string> run;  // services that must run
-  std::vector<std::string> off;  // cancelled
+  std::vector<std::string> done_arrays;       // arrays that must be done
+  std::vector<std::string> running_services;  // services that must be running
+  std::vector<std::string> cancelled_jobs;    // jobs that must be cancelled
 };
 
-struct FaultDay {
+struct FaultScenario {
   const char* name;
-  double over;
+  double faults_end_s;
   std::function<void(SimulatedCluster&, Load&)> script;
-  std::function<void(SimulatedCluster&)> reached;
+  std::function<void(SimulatedCluster&)> expect_faults_met;
 };
 
-// A service, a short and a long array of each team.
-void usual(SimulatedCluster& cluster, Load& load, double time_s = 5) {
+// Submits a service, a short and a long array of each team.
+void submit_usual_load(SimulatedCluster& cluster, Load& load, double time_s = 5) {
   int n = 100;
   for (const char* team : {"red", "blue", "gold"}) {
     const std::string service = "run-" + std::to_string(++n);
@@ -34,30 +34,30 @@
       cluster.submit(cluster.job(short_array, team, 8, 1, 8));
       cluster.submit(cluster.job(long_array, team, 3, 1, 60));
     });
-    load.run.push_back(service);
-    load.end.insert(load.end.end(), {short_array, long_array});
+    load.running_services.push_back(service);
+    load.done_arrays.insert(load.done_arrays.end(), {short_array, long_array});
   }
 }
 
-std::set<std::string> workers(int first, int step, int most = 40) {
-  std::set<std::string> out;
-  for (int i = first; i < most; i += step) out.insert(address(machine(i)));
-  return out;
+std::set<std::string> worker_addresses(int first, int step, int limit = 40) {
+  std::set<std::string> addresses;
+  for (int i = first; i < limit; i += step) addresses.insert(address(machine(i)));
+  return addresses;
 }
 
-const std::vector<FaultDay>& fault_days() {
-  static const std::vector<FaultDay> all = {
+const std::vector<FaultScenario>& fault_scenarios() {
+  static const std::vector<FaultScenario> scenarios = {
       {"JobsOfOneZoneLoseItsMachines", 12,
        [](SimulatedCluster& cluster, Load& load) {
          cluster.at(5, [&cluster] {
-           JobSpec bound = cluster.job("run-1", "blue", 4, 1, 12);
-           bound.zone = "a";
-           JobSpec together = cluster.job("run-2", "gold", 4, 1, 12);
-           together.one_zone = true;
-           cluster.submit(bound);
-           cluster.submit(together);
+           JobSpec pinned = cluster.job("run-1", "blue", 4, 1, 12);
+           pinned.zone = "a";
+           JobSpec one_zone_job = cluster.job("run-2", "gold", 4, 1, 12);
+           one_zone_job.one_zone = true;
+           cluster.submit(pinned);
+           cluster.submit(one_zone_job);
          });
-         load.end = {"run-1", "run-2"};
+         load.done_arrays = {"run-1", "run-2"};
          cluster.at(10, [&cluster] {
            for (int i = 0; i < 6; i += 2) cluster.kill_machine(machine(i));
          });
@@ -66,14 +66,14 @@
        [](SimulatedCluster& cluster) { EXPECT_EQ(cluster.lines("is dead"), 3u); }},
       {"JobsOfOneZoneLoseItsMachinesWhileOthersStayIdle", 12,
        [](SimulatedCluster& cluster, Load& load) {
-         load.end = {"run-1", "run-2", "run-3"};
+         load.done_arrays = {"run-1", "run-2", "run-3"};
          cluster.at(5, [&cluster] {
            for (int i = 1; i <= 3; ++i) {
-             JobSpec bound =
+             JobSpec pinned =
                  cluster.job("run-" + std::to_string(i), i % 2 ? "blue" : "gold", 4, 1, 12);
-             bound.zone = "a";
-             bound.deadline_s = 14;  // no slack: idle machines are kept for minutes
-             cluster.submit(bound);
+             pinned.zone = "a";
+             pinned.deadline_s = 14;  // no slack, so idle machines are kept for minutes
+             cluster.submit(pinned);
            }
          });
          cluster.at(10, [&cluster] {
@@ -86,7 +86,7 @@
        }},
       {"AllControllersAreDownBeyondALease", 31,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
+         submit_usual_load(cluster, load);
          cluster.at(12, [&cluster] {
            for (int i = 0; i < 3; ++i) cluster.crash(i, 15 + i);
          });
@@ -94,7 +94,7 @@
        [](SimulatedCluster& cluster) { EXPECT_GE(cluster.lines("lease expired"), 3u); }},
       {"TenFailoversInTwoMinutesAndAnOutage", 135,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
+         submit_usual_load(cluster, load);
          for (int i = 0; i < 12; ++i)
            cluster.at(12 + 9.7 * i, [&cluster, i] {
              if (const int leader = cluster.leader_of(0); leader >= 0)
@@ -109,7 +109,7 @@
        }},
       {"HeartbeatsOfEarlierIncarnationsArriveLate", 60,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
+         submit_usual_load(cluster, load);
          cluster.duplicate_heartbeats(true);
          cluster.at(10, [&cluster] {
            for (int i = 0; i < 3; ++i) cluster.freeze_machine(machine(i), true);
@@ -127,7 +127,7 @@
        }},
       {"FailoverAndFailbackThenAllCrashAndOneRestarts", 50,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
+         submit_usual_load(cluster, load);
          cluster.at(10, [&cluster] { cluster.crash(1, 6); });
          for (double time_s = 16; time_s < 30; time_s += 0.05)
            cluster.at(time_s, [&cluster] {
@@ -140,7 +140,7 @@
        [](SimulatedCluster& cluster) { EXPECT_EQ(cluster.lines("world all end"), 1u); }},
       {"SlowStateStoreWhileUsersCancelAndPoll", 50,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
+         submit_usual_load(cluster, load);
          cluster.at(10, [&cluster] { cluster.state_slow(2.2); });
          for (double time_s = 10; time_s < 40; time_s += 3)
            cluster.at(time_s, [&cluster, time_s] {
@@ -149,14 +149,14 @@
              cluster.at(time_s + 6, [&cluster, id] { cluster.cancel(id); });
            });
          for (int time_s = 10; time_s < 40; time_s += 3)
-           load.off.push_back("run-" + std::to_string(time_s));
+           load.cancelled_jobs.push_back("run-" + std::to_string(time_s));
          cluster.at(50, [&cluster] { cluster.state_slow(0); });
        },
        [](SimulatedCluster& cluster) { EXPECT_GE(cluster.lines("cancel says cancelled"), 10u); }},
       {"CancelledAsTheLeaderIsRejectedThenOutage", 90,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
-         load.off = {"run-1", "run-2"};
+         submit_usual_load(cluster, load);
+         load.cancelled_jobs = {"run-1", "run-2"};
          cluster.at(6, [&cluster] {
            for (const char* id : {"run-1", "run-2"})
              cluster.submit(cluster.job(id, "blue", 4, 1, 400));
@@ -175,9 +175,10 @@
        [](SimulatedCluster& cluster) { EXPECT_GE(cluster.confirmed("run-2").node, 0); }},
       {"HeartbeatsAreHeldUntilTheirReceiverLeads", 40,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
-         // The workers of n1's partition cannot get through to n0, which will lead them.
-         cluster.at(9.6, [&cluster] { cluster.cut(workers(0, 1), {"n0"}, CutMode::hold); });
+         submit_usual_load(cluster, load);
+         // No worker can reach n0, which will lead n1's partition.
+         cluster.at(9.6,
+                    [&cluster] { cluster.cut(worker_addresses(0, 1), {"n0"}, CutMode::hold); });
          cluster.at(10, [&cluster] { cluster.crash(1, 25); });
          cluster.at(19, [&cluster] {
            EXPECT_GE(cluster.held(), 6u);
@@ -188,16 +189,17 @@
        [](SimulatedCluster& cluster) { EXPECT_EQ(cluster.lines("world healed"), 1u); }},
       {"ZoneWithAControllerIsPartitioned", 26,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
+         submit_usual_load(cluster, load);
          cluster.at(10, [&cluster] {
-           std::set<std::string> zone = workers(1, 2), rest = workers(0, 2);
+           std::set<std::string> zone = worker_addresses(1, 2), other_side = worker_addresses(0, 2);
            zone.insert("n1");
-           rest.insert({"n0", "n2", "state", "cloud", "user"});
-           cluster.cut(zone, rest, CutMode::hold);
+           other_side.insert({"n0", "n2", "state", "cloud", "user"});
+           cluster.cut(zone, other_side, CutMode::hold);
          });
          cluster.at(14, [&cluster] { cluster.cancel("run-106"); });
-         load.off.push_back("run-106");
-         load.end.erase(std::find(load.end.begin(), load.end.end(), "run-106"));
+         load.cancelled_jobs.push_back("run-106");
+         load.done_arrays.erase(
+             std::find(load.done_arrays.begin(), load.done_arrays.end(), "run-106"));
          cluster.at(26, [&cluster] { cluster.heal(); });
        },
        [](SimulatedCluster& cluster) { EXPECT_GE(cluster.lines("lease expired"), 1u); }},
@@ -210,23 +212,23 @@
              cluster.submit(cluster.job(id, i % 2 ? "blue" : "gold", 3, 1, 20));
            }
          });
-         for (int i = 0; i < 6; ++i) load.end.push_back("run-" + std::to_string(i));
+         for (int i = 0; i < 6; ++i) load.done_arrays.push_back("run-" + std::to_string(i));
          cluster.at(14, [&cluster] { cluster.crash(1); });
          cluster.at(33, [&cluster] {
            for (int i = 0; i < 3; ++i) cluster.crash(i, 2 + i);
          });
          cluster.at(50, [&cluster] { cluster.crash(2, 0.2); });
        },
-       // What was done once is not done again.
+       // 6 jobs of 3 tasks: no task that is done may start again.
        [](SimulatedCluster& cluster) { EXPECT_EQ(cluster.checker().starts(), 18u); }},
       {"LeaderCrashesWhileMachinesAreUnreachable", 40,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
+         submit_usual_load(cluster, load);
          cluster.at(12, [&cluster] {
-           cluster.cut(workers(0, 2, 6), {SimulatedCluster::all()}, CutMode::hold);
+           cluster.cut(worker_addresses(0, 2, 6), {SimulatedCluster::all()}, CutMode::hold);
          });
          cluster.at(12.4, [&cluster] { cluster.crash(1, 12); });
-         cluster.at(20.4, [&cluster] { cluster.heal(); });  // within their lease
+         cluster.at(20.4, [&cluster] { cluster.heal(); });  // before their leases expire
        },
        [](SimulatedCluster& cluster) {
          EXPECT_GE(cluster.lines("partition claimed partition=1"), 2u);
@@ -234,7 +236,7 @@
        }},
       {"LeaderCrashesAndMachinesDoNotReceiveFromTheNext", 45,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
+         submit_usual_load(cluster, load);
          cluster.at(12, [&cluster] { cluster.crash(1, 20); });
          cluster.at(12.5, [&cluster] {
            for (int i = 0; i < 4; ++i) cluster.deafen(machine(i), true);
@@ -246,8 +248,8 @@
        [](SimulatedCluster& cluster) { EXPECT_GE(cluster.incarnation_of(machine(0)), 2u); }},
       {"DelayedCommandsReachAResumedMachine", 40,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
-         load.off = {"run-1"};
+         submit_usual_load(cluster, load);
+         load.cancelled_jobs = {"run-1"};
          cluster.at(6, [&cluster] { cluster.submit(cluster.job("run-1", "blue", 6, 1, 400)); });
          cluster.at(15, [&cluster] {
            ASSERT_EQ(cluster.tasks_on("run-1"), 6u);
@@ -256,7 +258,8 @@
          });
          cluster.at(22, [&cluster] {
            ASSERT_EQ(cluster.confirmed("run-1").node >= 0, true);
-           ASSERT_EQ(cluster.tasks_on("run-1"), 6u);  // they hang, with their tasks
+           ASSERT_EQ(cluster.tasks_on("run-1"),
+                     6u);  // hanging with their machines
            for (int i = 0; i < 6; ++i) cluster.freeze_machine(machine(i), false);
          });
          cluster.at(24, [&cluster] { EXPECT_EQ(cluster.tasks_on("run-1"), 0u); });
@@ -264,14 +267,14 @@
        [](SimulatedCluster& cluster) { EXPECT_GE(cluster.lines("goes on"), 1u); }},
       {"MachinesReachNoControllerButReceiveCommands", 45,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
-         load.off = {"run-1"};
+         submit_usual_load(cluster, load);
+         load.cancelled_jobs = {"run-1"};
          cluster.at(6, [&cluster] { cluster.submit(cluster.job("run-1", "blue", 6, 1, 400)); });
          cluster.at(15, [&cluster] {
            for (int i = 0; i < 6; ++i) cluster.mute(machine(i), true);
          });
          cluster.at(16, [&cluster] { cluster.cancel("run-1"); });
-         // Long before a lease ends: commands reach them.
+         // Long before a lease expires: direct commands still arrive.
          cluster.at(18, [&cluster] { EXPECT_EQ(cluster.tasks_on("run-1"), 0u); });
          cluster.at(35, [&cluster] {
            for (int i = 0; i < 6; ++i) cluster.mute(machine(i), false);
@@ -280,8 +283,8 @@
        [](SimulatedCluster& cluster) { EXPECT_GE(cluster.incarnation_of(machine(0)), 2u); }},
       {"TeamAtItsQuotaFailsOverWithUnreachableMachines", 45,
        [](SimulatedCluster& cluster, Load& load) {
-         load.off = {"run-1"};
-         load.end = {"run-2", "run-3"};
+         load.cancelled_jobs = {"run-1"};
+         load.done_arrays = {"run-2", "run-3"};
          cluster.at(5, [&cluster] {
            cluster.submit(cluster.job("run-1", "blue", 24, 1, 300));
            cluster.submit(cluster.job("run-2", "blue", 24, 1, 20));
@@ -289,8 +292,8 @@
          cluster.at(8, [&cluster] { cluster.submit(cluster.job("run-3", "blue", 30, 1, 6)); });
          cluster.at(28, [&cluster] {
            ASSERT_EQ(cluster.tasks_on("run-1"), 24u);
-           // The odd ones are silent for a while, within their lease.
-           cluster.cut(workers(1, 2), {SimulatedCluster::all()}, CutMode::hold);
+           // The odd machines are unreachable, but for less than their lease.
+           cluster.cut(worker_addresses(1, 2), {SimulatedCluster::all()}, CutMode::hold);
          });
          cluster.at(28.3, [&cluster] { cluster.crash(1, 30); });
          cluster.at(29, [&cluster] { cluster.cancel("run-1"); });
@@ -302,7 +305,7 @@
        }},
       {"TransactionsLandAfterNewerOnes", 90,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
+         submit_usual_load(cluster, load);
          cluster.at(6, [&cluster] { cluster.late_writes({0.45, 0.5, 12}); });
          for (int i = 1; i <= 12; ++i) {
            const std::string id = "run-" + std::to_string(i);
@@ -310,9 +313,9 @@
              cluster.submit(cluster.job(id, i % 2 ? "red" : "blue", 4, 1, 5));
            });
            if (i % 3) {
-             load.end.push_back(id);
+             load.done_arrays.push_back(id);
            } else {
-             load.off.push_back(id);
+             load.cancelled_jobs.push_back(id);
              cluster.at(9 + 4 * i, [&cluster, id] { cluster.cancel(id); });
            }
          }
@@ -323,8 +326,8 @@
        [](SimulatedCluster& cluster) { EXPECT_GE(cluster.landed_late(), 6u); }},
       {"LeaderReachesOnlyItsWorkersAndUsers", 40,
        [](SimulatedCluster& cluster, Load& load) {
-         usual(cluster, load);
-         load.off = {"run-1"};
+         submit_usual_load(cluster, load);
+         load.cancelled_jobs = {"run-1"};
          cluster.at(6, [&cluster] { cluster.submit(cluster.job("run-1", "blue", 6, 1, 400)); });
          cluster.at(14, [&cluster] {
            cluster.cut({"n1"}, {"state", "n0", "n2", "cloud"}, CutMode::reset);
@@ -340,39 +343,39 @@
          EXPECT_NE(cluster.confirmed("run-1").node, 1);
        }},
   };
-  return all;
+  return scenarios;
 }
 
 class ConcurrentFaults : public testing::TestWithParam<std::tuple<std::size_t, std::uint64_t>> {};
 
 TEST_P(ConcurrentFaults, ViolateNoRule) {
   const auto [index, seed] = GetParam();
-  const FaultDay& day = fault_days()[index];
+  const FaultScenario& scenario = fault_scenarios()[index];
   Options options;
   options.seed = seed;
   SimulatedCluster cluster(options);
   Load load;
-  day.script(cluster, load);
-  cluster.at(day.over, [&] { cluster.faults_over(); });
-  cluster.run_until(day.over + 130);
-  day.reached(cluster);
+  scenario.script(cluster, load);
+  cluster.at(scenario.faults_end_s, [&] { cluster.faults_over(); });
+  cluster.run_until(scenario.faults_end_s + 130);
+  scenario.expect_faults_met(cluster);
   cluster.checker().day_over(cluster.now());
   expect_rules_kept(cluster);
-  for (const auto& id : load.end) EXPECT_EQ(cluster.phase(id), "done") << id;
-  for (const auto& id : load.run) EXPECT_EQ(cluster.tasks_on(id), 1u) << id;
-  for (const auto& id : load.off) {
+  for (const auto& id : load.done_arrays) EXPECT_EQ(cluster.phase(id), "done") << id;
+  for (const auto& id : load.running_services) EXPECT_EQ(cluster.tasks_on(id), 1u) << id;
+  for (const auto& id : load.cancelled_jobs) {
     EXPECT_EQ(cluster.phase(id), "cancelled") << id;
     EXPECT_EQ(cluster.tasks_on(id), 0u) << id;
   }
   EXPECT_EQ(cluster.checker().starts_after_cancel(), 0u);
 }
 
-INSTANTIATE_TEST_SUITE_P(Days, ConcurrentFaults,
-                         testing::Combine(testing::Range<std::size_t>(0, fault_days().size()),
+INSTANTIATE_TEST_SUITE_P(Scenarios, ConcurrentFaults,
+                         testing::Combine(testing::Range<std::size_t>(0, fault_scenarios().size()),
                                           testing::Values(1, 2, 3)),
                          [](const auto& i) {
-                           return std::string(fault_days()[std::get<0>(i.param)].name) + "Seed" +
-                                  std::to_string(std::get<1>(i.param));
+                           return std::string(fault_scenarios()[std::get<0>(i.param)].name) +
+                                  "Seed" + std::to_string(std::get<1>(i.param));
                          });
 
 }  // namespace
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -1,5 +1,5 @@
-// The size up to which nothing may be bounded by a constant: 4,000 machines. What is counted are
-// messages and machines looked at, not time.
+// A fleet of 4,000 machines, the size up to which no constant in the code may be a limit. The
+// bounds are on counts of messages and of machines examined, not on time.
 #include "standin/expectations.h"
 
 using namespace eiderreel;
@@ -9,7 +9,7 @@
 
 constexpr int kMachines = 4000;
 
-Options large() {
+Options large_fleet() {
   Options options;
   options.machines = kMachines;
   options.heartbeat_interval_s = 5;
@@ -22,10 +22,11 @@
   return options;
 }
 
-// All machines are assigned and work; the leader ends and another one takes over; the cloud's list,
-// which has more pages than a second of its rate allows, is read to its end.
+// All machines are assigned and run tasks, the leader crashes and another controller takes over,
+// and the cloud's machine list, which has more pages than its rate limit allows in a second, is
+// read to its end.
 TEST(LargeFleet, FourThousandMachinesAreAssignedListedAndFailedOver) {
-  SimulatedCluster cluster(large());
+  SimulatedCluster cluster(large_fleet());
   cluster.at(12, [&cluster] {
     for (const char* team : {"red", "blue", "gold"})
       cluster.submit(
@@ -43,13 +44,13 @@
   EXPECT_GE(running, 3800u);
   EXPECT_GE(cluster.lines("machine assigned"), static_cast<std::size_t>(kMachines));
   EXPECT_GE(cluster.lines("partition claimed"), 4u);
-  // Each is known to be gone by a whole list alone.
+  // Only a completely read list shows that these machines are gone.
   EXPECT_EQ(cluster.lines("machine released machine=" + machine(1)), 1u);
   EXPECT_GE(cluster.lines("machine forgotten machine=" + machine(2)), 1u);
   for (int n = 0; n < 3; ++n)
     for (const auto& [partition, core] : cluster.node(n)->partition_leader().partitions())
       EXPECT_LT(core->steps(), 40u * kMachines)
-          << partition;  // a heartbeat is answered by one machine's
+          << partition;  // answering a heartbeat takes steps for one machine only
   expect_rules_kept(cluster);
 }
 
--- a/tests/leader_rejected_test.cc
+++ b/tests/leader_rejected_test.cc
@@ -1,7 +1,8 @@
-// The state store rejects the leading controller alone; what it committed last has landed
-// without an answer, and another controller confirms it to users. Then the state store is down for
-// all, for longer than a cancellation has, while the workers keep sending heartbeats to the old
-// leader.
+// The state store rejects only the leader of a partition. The leader's last commit, a cancellation
+// or a completion, was applied without a reply, and another controller confirms it to users. Then
+// the state store is down for all controllers, for longer than a cancellation may take, while the
+// workers keep sending heartbeats to the old leader. The old leader must kill the cancelled tasks
+// in time and must not contradict the confirmed phase.
 #include <cmath>
 
 #include "standin/expectations.h"
@@ -11,7 +12,7 @@
 
 namespace {
 
-// Two arrays of the leader's partition that outlast the day; the first of them is cancelled.
+// Submits two arrays of the leader's partition that outlast the test; run-1 is cancelled later.
 void submit_lasting_arrays(SimulatedCluster& cluster) {
   cluster.at(5, [&cluster] {
     cluster.submit(cluster.job("run-1", "blue", 6, 1, 400));
@@ -19,59 +20,62 @@
   });
 }
 
-struct Gap {
+struct RejectionTiming {
   std::uint64_t seed;
-  Delays late;            // of the commits just before the refusal
-  double outage_after_s;  // from the refusal
+  Delays commit_delays;   // of the commits just before the rejection
+  double outage_after_s;  // after the rejection begins
 };
 
-class LeaderRejectedThenOutage : public testing::TestWithParam<Gap> {
+class LeaderRejectedThenOutage : public testing::TestWithParam<RejectionTiming> {
  public:
-  static constexpr double kAt = 30, kOutageS = 52.8;
+  static constexpr double kRejectedAtS = 30, kOutageS = 52.8;
   static constexpr int kLeader = 1;  // of the partition of team blue
   Options seeded_options() const {
     Options options;
     options.seed = GetParam().seed;
     return options;
   }
-  // From a moment before the refusal on, until it, commits get no answer.
-  void gap(SimulatedCluster& cluster) const {
-    cluster.at(kAt - 0.3, [&cluster] { cluster.late_writes(GetParam().late); });
-    cluster.at(kAt, [&cluster] {
+  // Schedules the faults: commits get no reply for 0.3 s, then the state store rejects the leader,
+  // then it is down for all controllers.
+  void schedule_faults(SimulatedCluster& cluster) const {
+    cluster.at(kRejectedAtS - 0.3, [&cluster] { cluster.late_writes(GetParam().commit_delays); });
+    cluster.at(kRejectedAtS, [&cluster] {
       cluster.late_writes({});
       cluster.state_refuses(kLeader, true);
     });
-    cluster.at(kAt + GetParam().outage_after_s, [&cluster] { cluster.state_outage(true); });
-    cluster.at(kAt + GetParam().outage_after_s + kOutageS, [&cluster] {
+    cluster.at(kRejectedAtS + GetParam().outage_after_s,
+               [&cluster] { cluster.state_outage(true); });
+    cluster.at(kRejectedAtS + GetParam().outage_after_s + kOutageS, [&cluster] {
       cluster.state_outage(false);
       cluster.state_refuses(kLeader, false);
     });
   }
-  double outage_at() const { return kAt + GetParam().outage_after_s; }
+  double outage_at_s() const { return kRejectedAtS + GetParam().outage_after_s; }
 };
 
 TEST_P(LeaderRejectedThenOutage, CancelledTasksAreKilledInTime) {
   SimulatedCluster cluster(seeded_options());
   submit_lasting_arrays(cluster);
-  gap(cluster);
-  cluster.at(kAt - 0.2, [&] {
+  schedule_faults(cluster);
+  cluster.at(kRejectedAtS - 0.2, [&] {
     ASSERT_EQ(cluster.leader_of(1), kLeader);
     ASSERT_EQ(cluster.tasks_on("run-1"), 6u);
     cluster.cancel("run-1");
   });
-  std::size_t before = 0, confirmed = 0;
-  cluster.at(outage_at() + 6,
-             [&] { before = cluster.heartbeats_accepted(kLeader); });  // its lease would be over
-  cluster.at(outage_at() + 50, [&] { confirmed = cluster.heartbeats_accepted(kLeader); });
-  cluster.run_until(outage_at() + kOutageS - 1);
-  // They meet: another controller has confirmed, and the workers stayed with the old leader.
+  std::size_t heartbeats_before = 0, heartbeats_after = 0;
+  // 6 s into the outage, the old leader's lease would have expired.
+  cluster.at(outage_at_s() + 6, [&] { heartbeats_before = cluster.heartbeats_accepted(kLeader); });
+  cluster.at(outage_at_s() + 50, [&] { heartbeats_after = cluster.heartbeats_accepted(kLeader); });
+  cluster.run_until(outage_at_s() + kOutageS - 1);
+  // The faults coincided: another controller confirmed the cancellation before the outage, and the
+  // workers kept sending heartbeats to the old leader.
   ASSERT_GE(cluster.confirmed("run-1").node, 0);
   EXPECT_NE(cluster.confirmed("run-1").node, kLeader);
-  EXPECT_LT(cluster.confirmed("run-1").at, outage_at());
-  EXPECT_GT(confirmed, before + 40);
+  EXPECT_LT(cluster.confirmed("run-1").at, outage_at_s());
+  EXPECT_GT(heartbeats_after, heartbeats_before + 40);
   EXPECT_EQ(cluster.tasks_on("run-1"), 0u);
   EXPECT_EQ(cluster.tasks_on("run-2"), 4u);
-  // Whichever controller is polled, none contradicts it.
+  // No controller may contradict the confirmation.
   for (int n = 0; n < 3; ++n) cluster.poll_once(n, "run-1", [](int, const std::string&) {});
   cluster.run_until(130);
   cluster.checker().faults_over(90);
@@ -79,70 +83,73 @@
   expect_rules_kept(cluster);
 }
 
-// The same for a job whose last task ends at that moment: its old leader must not call it running.
+// The same for a job whose last task ends just before the rejection: the old leader must not report
+// it as running.
 TEST_P(LeaderRejectedThenOutage, DoneJobStaysDone) {
   SimulatedCluster cluster(seeded_options());
   cluster.at(5, [&] {
     cluster.submit(cluster.job("run-1", "blue", 2, 1, 22.5));
     cluster.submit(cluster.job("run-2", "blue", 2, 1, 400));
   });
-  gap(cluster);
-  // Whenever it ends, the commit of its end is without answer.
-  cluster.at(kAt - 2, [&] { cluster.late_writes(GetParam().late); });
-  bool told = false;
-  for (double time_s = kAt; time_s < outage_at() + 40; time_s += 0.5)
+  schedule_faults(cluster);
+  // From 2 s before the rejection, so that the commit of the job's completion gets no reply.
+  cluster.at(kRejectedAtS - 2, [&] { cluster.late_writes(GetParam().commit_delays); });
+  bool done_reported = false;
+  for (double time_s = kRejectedAtS; time_s < outage_at_s() + 40; time_s += 0.5)
     cluster.at(time_s, [&] {
       for (int n : {0, 2, 1})
         cluster.poll_once(n, "run-1", [&, n](int, const std::string& phase) {
-          told |= phase == "done" && n != kLeader && cluster.now() < outage_at();
+          done_reported |= phase == "done" && n != kLeader && cluster.now() < outage_at_s();
         });
     });
   cluster.run_until(130);
-  ASSERT_TRUE(told);
+  ASSERT_TRUE(done_reported);
   EXPECT_EQ(cluster.phase("run-1"), "done");
   expect_rules_kept(cluster);
 }
 
-std::vector<Gap> gaps() {
-  std::vector<Gap> out;
-  const Delays lost{1, 0.005, 0.01}, late{1, 0.6, 1.6};
+std::vector<RejectionTiming> rejection_timings() {
+  std::vector<RejectionTiming> timings;
+  const Delays lost_reply{1, 0.005, 0.01}, late_commit{1, 0.6, 1.6};
   for (std::uint64_t seed : {1, 2, 3, 4})
-    for (double after : {2.2, 3.0, 3.6}) {
-      out.push_back({seed, lost, after});
-      out.push_back({seed, late, after});
+    for (double delay_s : {2.2, 3.0, 3.6}) {
+      timings.push_back({seed, lost_reply, delay_s});
+      timings.push_back({seed, late_commit, delay_s});
     }
-  return out;
+  return timings;
 }
 
-INSTANTIATE_TEST_SUITE_P(Offsets, LeaderRejectedThenOutage, testing::ValuesIn(gaps()),
+INSTANTIATE_TEST_SUITE_P(Offsets, LeaderRejectedThenOutage, testing::ValuesIn(rejection_timings()),
                          [](const auto& info) {
-                           const Gap& gap = info.param;
-                           return "Seed" + std::to_string(gap.seed) +
-                                  (gap.late.least_s < 0.1 ? "LostReply" : "LateCommit") +
+                           const RejectionTiming& timing = info.param;
+                           return "Seed" + std::to_string(timing.seed) +
+                                  (timing.commit_delays.least_s < 0.1 ? "LostReply"
+                                                                      : "LateCommit") +
                                   "OutageAfterMs" +
-                                  std::to_string(std::lround(gap.outage_after_s * 1000));
+                                  std::to_string(std::lround(timing.outage_after_s * 1000));
                          });
 
-// The refusal lasts longer than a lease before the outage begins: the partition has a new leader,
-// which confirms and goes on through the outage, though the old one has not seen its claim.
+// The state store rejects the leader for longer than a lease before the outage begins. The
+// partition gets a new leader, which confirms the cancellation and keeps serving its workers during
+// the outage, although the old leader has not seen the new leader's claim.
 class LeaderRejectedBeyondItsLease
     : public testing::TestWithParam<std::tuple<std::uint64_t, double>> {};
 
 TEST_P(LeaderRejectedBeyondItsLease, NewLeaderContinuesThroughTheOutage) {
-  const auto [seed, after] = GetParam();
+  const auto [seed, outage_delay_s] = GetParam();
   Options options;
   options.seed = seed;
   SimulatedCluster cluster(options);
   submit_lasting_arrays(cluster);
   cluster.at(30, [&] { cluster.state_refuses(1, true); });
-  cluster.at(30 + after - 0.4, [&] {
+  cluster.at(30 + outage_delay_s - 0.4, [&] {
     ASSERT_NE(cluster.leader_of(1), 1);
     cluster.cancel("run-1");
   });
-  cluster.at(30 + after, [&] { cluster.state_outage(true); });
-  cluster.run_until(30 + after + 52);
+  cluster.at(30 + outage_delay_s, [&] { cluster.state_outage(true); });
+  cluster.run_until(30 + outage_delay_s + 52);
   ASSERT_NE(cluster.confirmed("run-1").node, -1);
-  EXPECT_LT(cluster.confirmed("run-1").at, 30 + after);
+  EXPECT_LT(cluster.confirmed("run-1").at, 30 + outage_delay_s);
   EXPECT_EQ(cluster.tasks_on("run-1"), 0u);
   EXPECT_EQ(cluster.tasks_on("run-2"), 4u);
   EXPECT_EQ(cluster.lines("lease expired"), 0u);
--- a/tests/overload_test.cc
+++ b/tests/overload_test.cc
@@ -1,5 +1,4 @@
-// More work than the machines take, for minutes: nobody starves, and capacity that becomes free is
-// used in time.
+// Sustained overload: no job starves, and capacity that becomes free is used in time.
 #include <array>
 
 #include "standin/expectations.h"
@@ -9,7 +8,7 @@
 
 namespace {
 
-// A cluster that can rent no further machine.
+// A cluster whose cloud has no capacity for further machines.
 Options fixed_fleet(int machines, int nodes) {
   Options options;
   options.machines = machines;
@@ -18,17 +17,18 @@
   return options;
 }
 
-// Guests without a fair share among teams whose queues never end, over slow links: idle-time work
-// begins all the same, and so does a task that needs a whole machine.
+// Best-effort jobs of a team without a guaranteed share compete with teams whose queues never
+// empty, over slow links. They must start in time, and so must tasks that each need a whole
+// machine.
 TEST(Overload, BestEffortJobsAndTheLargestTasksStartInTime) {
   Options options = fixed_fleet(4, 3);
   options.latency_ms = 150;
   options.teams.push_back({"guest", 0, 1e9, 0, 0});
   SimulatedCluster cluster(options);
   cluster.at(5, [&] {
-    JobSpec idle = cluster.job("run-900", "guest", 40, 1, 60),
-            whole = cluster.job("run-901", "guest", 3, 8, 30);
-    for (JobSpec* spec : {&idle, &whole}) {
+    JobSpec small_tasks = cluster.job("run-900", "guest", 40, 1, 60),
+            whole_machine = cluster.job("run-901", "guest", 3, 8, 30);
+    for (JobSpec* spec : {&small_tasks, &whole_machine}) {
       spec->priority = Priority::best_effort;
       spec->deadline_s.reset();
       spec->jobclass = spec->id;
@@ -50,8 +50,8 @@
   expect_rules_kept(cluster);
 }
 
-// Machines that failed everything for minutes are well again: no job waits beside them for the rest
-// of a pause that has doubled and doubled.
+// Machines that failed every task for minutes have recovered. Jobs must not wait for the rest of a
+// quarantine whose duration has doubled repeatedly.
 TEST(Overload, RecoveredMachinesTakeWorkInTime) {
   SimulatedCluster cluster(fixed_fleet(2, 1));
   for (int i = 0; i < 2; ++i) {
@@ -69,22 +69,22 @@
   for (int i = 0; i < 7; ++i) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done") << i;
 }
 
-// A job that failed on machines which are well again does not avoid them for ever: the third is
-// full.
+// A job must not avoid the machines on which it failed forever: two have recovered, and the third
+// is full.
 TEST(Overload, JobReturnsToMachinesOnWhichItFailed) {
   SimulatedCluster cluster(fixed_fleet(3, 1));
   cluster.at(4, [&cluster] { cluster.submit(cluster.service("run-800", "red", 1, 8)); });
-  std::string full;
+  std::string full_machine;
   cluster.at(8, [&] {
-    full = cluster.machines_of("run-800").at(0);
+    full_machine = cluster.machines_of("run-800").at(0);
     for (int i = 0; i < 3; ++i)
-      if (machine(i) != full) cluster.set_sick(machine(i), true);
+      if (machine(i) != full_machine) cluster.set_sick(machine(i), true);
     JobSpec spec = cluster.job("run-1", "blue", 1, 1, 10);
-    spec.deadline_s = 11;  // no slack: idle machines are kept
+    spec.deadline_s = 11;  // no slack, so idle machines are kept
     cluster.submit(spec);
   });
   cluster.at(60, [&] {
-    EXPECT_GE(cluster.checker().starts(), 3u);  // it has failed
+    EXPECT_GE(cluster.checker().starts(), 3u);  // the job has failed
     for (int i = 0; i < 3; ++i) cluster.set_sick(machine(i), false);
     cluster.faults_over();
   });
@@ -93,8 +93,8 @@
   EXPECT_EQ(cluster.phase("run-1"), "done");
 }
 
-// Nothing more can be provisioned, and every machine of the other partitions runs a service, so
-// none is idle: work that waits gets its room all the same.
+// No machine can be provisioned, and every machine of the other partitions runs a service, so none
+// is idle and can be transferred. Waiting jobs must still get the free capacity of those machines.
 TEST(Overload, CapacityBesideServicesOfOtherPartitionsIsUsed) {
   Options options;
   options.capacity = 0;
--- a/tests/races_test.cc
+++ b/tests/races_test.cc
@@ -1,5 +1,5 @@
-// Requests and commits that race: with the end of a job, with restarts and outages, and with a
-// transaction whose outcome is unknown.
+// Requests and commits that race with the completion of a job, with restarts and outages, and with
+// a transaction whose outcome is unknown.
 #include <array>
 #include <cmath>
 
@@ -10,8 +10,8 @@
 
 namespace {
 
-// With no other fault, a cancellation, a question and a repeated submission come at that moment,
-// each some milliseconds later than for the job before.
+// Without other faults, each job is cancelled, polled and submitted again at about the time when it
+// is done. The offset grows by 25 ms from job to job.
 TEST(JobCompletion, RacesWithCancellationPollAndResubmission) {
   SimulatedCluster cluster({});
   constexpr int kJobs = 60;
@@ -40,28 +40,30 @@
   cluster.faults_over();
   cluster.run_until(110);
   expect_rules_kept(cluster);
-  std::map<std::string, int> ends;
-  for (const auto& spec : specs) ++ends[cluster.phase(spec.id)];
-  EXPECT_GE(ends["done"], 5);  // both were met
-  EXPECT_GE(ends["cancelled"], 5);
-  EXPECT_EQ(ends["done"] + ends["cancelled"], kJobs);
+  std::map<std::string, int> phase_counts;
+  for (const auto& spec : specs) ++phase_counts[cluster.phase(spec.id)];
+  EXPECT_GE(phase_counts["done"], 5);  // both outcomes occurred
+  EXPECT_GE(phase_counts["cancelled"], 5);
+  EXPECT_EQ(phase_counts["done"] + phase_counts["cancelled"], kJobs);
 }
 
-// Fresh nodes, also in an outage, accept nothing that cannot run or lacks a field.
+// No controller accepts a job that cannot run or a body that lacks a field, not even just after a
+// restart or during an outage of the state store.
 TEST(InvalidSubmissions, AreNeverAccepted) {
   SimulatedCluster cluster({});
-  JobSpec nowhere = cluster.job("run-1", "red", 2), nobody = cluster.job("run-2", "nobody", 2),
-          large = cluster.job("run-3", "red", 2, 9);
-  nowhere.zone = "z";
-  const std::string good = codec::encode(cluster.job("run-4", "red", 2), "user");
-  std::string lacking = good;
-  lacking.replace(lacking.find("\"shards\""), 8, "\"shard\"");
-  const std::vector<std::string> odd = {codec::encode(nowhere, "u"),
-                                        codec::encode(nobody, "u"),
-                                        codec::encode(large, "u"),
-                                        lacking,
-                                        good + "x",
-                                        "[]"};
+  JobSpec unknown_zone = cluster.job("run-1", "red", 2),
+          unknown_team = cluster.job("run-2", "nobody", 2),
+          oversized = cluster.job("run-3", "red", 2, 9);
+  unknown_zone.zone = "z";
+  const std::string valid_body = codec::encode(cluster.job("run-4", "red", 2), "user");
+  std::string missing_field = valid_body;
+  missing_field.replace(missing_field.find("\"shards\""), 8, "\"shard\"");
+  const std::vector<std::string> invalid_bodies = {codec::encode(unknown_zone, "u"),
+                                                   codec::encode(unknown_team, "u"),
+                                                   codec::encode(oversized, "u"),
+                                                   missing_field,
+                                                   valid_body + "x",
+                                                   "[]"};
   cluster.at(8, [&] {
     for (int n = 0; n < 3; ++n) cluster.crash(n, 0.1 + n);
   });
@@ -69,9 +71,9 @@
   cluster.at(15, [&] { cluster.crash(1, 0.2); });
   cluster.at(30, [&] { cluster.state_outage(false); });
   for (double time_s = 3; time_s < 45; time_s += 0.31)
-    cluster.at(time_s, [&cluster, &odd] {
+    cluster.at(time_s, [&cluster, &invalid_bodies] {
       for (int n = 0; n < 3; ++n)
-        for (const auto& body : odd) cluster.submit_invalid(n, body);
+        for (const auto& body : invalid_bodies) cluster.submit_invalid(n, body);
     });
   cluster.at(20, [&cluster] { cluster.submit(cluster.job("run-9", "red", 2)); });
   cluster.run_until(60);
@@ -82,8 +84,8 @@
   expect_rules_kept(cluster);
 }
 
-// A service and a short array of each team.
-void short_load(SimulatedCluster& cluster) {
+// Submits a service and a short array of each team.
+void submit_short_load(SimulatedCluster& cluster) {
   cluster.at(5, [&cluster] {
     int n = 800;
     for (const char* team : {"red", "blue", "gold"}) {
@@ -93,43 +95,44 @@
   });
 }
 
-// The transaction that gives idle machines away has no answer and lands seconds later; until then
-// later tries are refused. The giver must not use the machines meanwhile.
+// The transaction that transfers idle machines to another partition gets no reply and is applied
+// seconds later; until then the state store rejects retries. The sending partition must not use the
+// machines while the outcome is unknown.
 class TransferWithUnknownOutcome
     : public testing::TestWithParam<std::tuple<std::uint64_t, double>> {};
 
 TEST_P(TransferWithUnknownOutcome, MachinesAreNotUsedUntilItIsProven) {
-  const auto [seed, late_s] = GetParam();
+  const auto [seed, delay_s] = GetParam();
   Options options;
   options.seed = seed;
   options.capacity = 0;
   SimulatedCluster cluster(options);
-  short_load(cluster);
-  std::size_t before = 0;
-  double moved = 0;
-  cluster.at(11, [&, late_s = late_s] {
-    cluster.late_writes({1, late_s, late_s + 0.1});
-    before = cluster.lines("machine transfer");
+  submit_short_load(cluster);
+  std::size_t transfers_before = 0;
+  double transferred_at_s = 0;
+  cluster.at(11, [&, delay_s = delay_s] {
+    cluster.late_writes({1, delay_s, delay_s + 0.1});
+    transfers_before = cluster.lines("machine transfer");
   });
   for (double time_s = 11.01; time_s < 60; time_s += 0.05)
     cluster.at(time_s, [&] {
-      if (moved > 0 || cluster.lines("machine transfer") == before) return;
-      moved = cluster.now();
+      if (transferred_at_s > 0 || cluster.lines("machine transfer") == transfers_before) return;
+      transferred_at_s = cluster.now();
       cluster.late_writes({});
       for (int n = 0; n < 3; ++n) cluster.state_refuses(n, true);
-      cluster.cloud_outage(true);  // nothing can be returned, so what is on the machines goes on
-      cluster.at(moved + 20, [&cluster] { cluster.cloud_outage(false); });
-      cluster.at(moved + 3.6, [&cluster] {
+      cluster.cloud_outage(true);  // machines cannot be returned, so their tasks keep running
+      cluster.at(transferred_at_s + 20, [&cluster] { cluster.cloud_outage(false); });
+      cluster.at(transferred_at_s + 3.6, [&cluster] {
         for (int n = 0; n < 3; ++n) cluster.state_refuses(n, false);
       });
-      cluster.at(moved + 3.7, [&cluster] {
+      cluster.at(transferred_at_s + 3.7, [&cluster] {
         for (int i = 0; i < 9; ++i)
           cluster.submit(cluster.job("run-" + std::to_string(i),
                                      std::array{"red", "blue", "gold"}[i % 3], 12));
       });
     });
   cluster.run_until(60);
-  ASSERT_GT(moved, 0);
+  ASSERT_GT(transferred_at_s, 0);
   ASSERT_GE(cluster.without_answer(), 1u);
   cluster.faults_over();
   cluster.run_until(190);
--- a/tests/rule_checker_test.cc
+++ b/tests/rule_checker_test.cc
@@ -1,4 +1,4 @@
-// The rule checker detects a planted violation of each rule, and nothing else.
+// The rule checker must detect a deliberate violation of each rule and must not report other rules.
 #include "standin/rule_checker.h"
 
 #include <gtest/gtest.h>
@@ -19,15 +19,15 @@
   return spec;
 }
 
-const RuleChecker::Place kHere{"m-1", "box", "a", false}, kThere{"m-2", "box", "b", false};
+const RuleChecker::Place kMachine1{"m-1", "box", "a", false}, kMachine2{"m-2", "box", "b", false};
 
 struct RuleCheckerTest : testing::Test {
   RuleChecker checker{{{"red", 4, 8, 0, 0}}, 40};
-  void accepted(const JobSpec& spec) {
+  void submit_accepted(const JobSpec& spec) {
     checker.submitted(spec);
     checker.submit_answer(0, spec.id, 201);
   }
-  // Exactly one rule is broken, and it is this one.
+  // Exactly one violation was found, and it is of this rule.
   void expect_violation(const std::string& rule) {
     ASSERT_EQ(checker.violations().size(), 1u);
     EXPECT_NE(checker.violations()[0].find(" " + rule + ":"), std::string::npos)
@@ -36,10 +36,10 @@
 };
 
 TEST_F(RuleCheckerTest, OrdinaryLifecycleViolatesNothing) {
-  accepted(job_spec("run-1"));
+  submit_accepted(job_spec("run-1"));
   checker.phase_answered(1, "run-1", "queued");
-  checker.task_on(2, kHere, "run-1", 0);
-  checker.task_on(2, kThere, "run-1", 1);
+  checker.task_on(2, kMachine1, "run-1", 0);
+  checker.task_on(2, kMachine2, "run-1", 1);
   checker.task_done(4, "run-1", 0);
   checker.task_off("m-1", "run-1", 0);
   checker.task_done(5, "run-1", 1);
@@ -50,20 +50,20 @@
 }
 
 TEST_F(RuleCheckerTest, DetectsATaskThatRunsTwice) {
-  accepted(job_spec("run-1"));
-  checker.task_on(1, kHere, "run-1", 0);
-  checker.task_on(2, kThere, "run-1", 0);
+  submit_accepted(job_spec("run-1"));
+  checker.task_on(1, kMachine1, "run-1", 0);
+  checker.task_on(2, kMachine2, "run-1", 0);
   expect_violation("ran_twice");
 }
 
 TEST_F(RuleCheckerTest, DetectsAnExceededQuota) {
-  accepted(job_spec("run-1", 3, 4));
-  for (std::uint32_t i = 0; i < 3; ++i) checker.task_on(1, kHere, "run-1", i);
+  submit_accepted(job_spec("run-1", 3, 4));
+  for (std::uint32_t i = 0; i < 3; ++i) checker.task_on(1, kMachine1, "run-1", i);
   expect_violation("quota");
 }
 
 TEST_F(RuleCheckerTest, DetectsPlacementOnASpotMachine) {
-  accepted(job_spec("run-1"));
+  submit_accepted(job_spec("run-1"));
   checker.task_on(1, {"m-1", "box", "a", true}, "run-1", 0);
   expect_violation("wrong_place");
 }
@@ -71,23 +71,23 @@
 TEST_F(RuleCheckerTest, DetectsPlacementInASecondZone) {
   JobSpec spec = job_spec("run-1");
   spec.one_zone = true;
-  accepted(spec);
-  checker.task_on(1, kHere, "run-1", 0);
-  checker.task_on(1, kThere, "run-1", 1);
+  submit_accepted(spec);
+  checker.task_on(1, kMachine1, "run-1", 0);
+  checker.task_on(1, kMachine2, "run-1", 1);
   expect_violation("wrong_place");
 }
 
 TEST_F(RuleCheckerTest, DetectsTasksThatAreNotSpread) {
   JobSpec spec = job_spec("run-1", 3);
   spec.spread = true;
-  accepted(spec);
-  for (std::uint32_t i = 0; i < 3; ++i) checker.task_on(1, kHere, "run-1", i);
+  submit_accepted(spec);
+  for (std::uint32_t i = 0; i < 3; ++i) checker.task_on(1, kMachine1, "run-1", i);
   expect_violation("wrong_place");
 }
 
 TEST_F(RuleCheckerTest, DetectsATaskThatRunsTooLongAfterCancellation) {
-  accepted(job_spec("run-1"));
-  checker.task_on(1, kHere, "run-1", 0);
+  submit_accepted(job_spec("run-1"));
+  checker.task_on(1, kMachine1, "run-1", 0);
   checker.cancel_asked("run-1");
   checker.phase_answered(2, "run-1", "cancelled");
   checker.look(41);
@@ -97,13 +97,13 @@
 }
 
 TEST_F(RuleCheckerTest, DetectsAnAcceptedJobThatIsNotFound) {
-  accepted(job_spec("run-1"));
+  submit_accepted(job_spec("run-1"));
   checker.phase_answered(1, "run-1", "");
   expect_violation("forgotten");
 }
 
 TEST_F(RuleCheckerTest, DetectsAnAcceptedJobThatIsRejectedLater) {
-  accepted(job_spec("run-1"));
+  submit_accepted(job_spec("run-1"));
   checker.submit_answer(1, "run-1", 422);
   expect_violation("forgotten");
 }
@@ -114,14 +114,14 @@
 }
 
 TEST_F(RuleCheckerTest, DetectsDoneBeforeAllTasksAreDone) {
-  accepted(job_spec("run-1"));
+  submit_accepted(job_spec("run-1"));
   checker.task_done(0.5, "run-1", 0);
   checker.phase_answered(1, "run-1", "done");
   expect_violation("not_done");
 }
 
 TEST_F(RuleCheckerTest, DetectsAPhaseAfterAFinalPhase) {
-  accepted(job_spec("run-1"));
+  submit_accepted(job_spec("run-1"));
   checker.cancel_asked("run-1");
   checker.phase_answered(1, "run-1", "cancelled");
   checker.phase_answered(2, "run-1", "running");
@@ -129,22 +129,22 @@
 }
 
 TEST_F(RuleCheckerTest, DetectsACancellationThatNobodyRequested) {
-  accepted(job_spec("run-1"));
+  submit_accepted(job_spec("run-1"));
   checker.phase_answered(1, "run-1", "cancelled");
   expect_violation("went_back");
 }
 
-// Once the faults are over, a job about which no question is answered for 75 s is forgotten,
-// however well others fare.
+// Once the faults are over, a job whose polls get no answer for 75 s counts as forgotten, even when
+// polls for other jobs are answered.
 TEST_F(RuleCheckerTest, DetectsAJobWhosePollsGoUnanswered) {
-  accepted(job_spec("run-1"));
-  accepted(job_spec("run-2"));
+  submit_accepted(job_spec("run-1"));
+  submit_accepted(job_spec("run-2"));
   for (int now = 0; now <= 100; now += 5) {
     checker.asked(now, "run-1", false);
     checker.asked(now, "run-2", true);
   }
   checker.look(100);
-  EXPECT_TRUE(checker.violations().empty());  // faults still last
+  EXPECT_TRUE(checker.violations().empty());  // the faults are not over yet
   checker.faults_over(100);
   checker.asked(170, "run-1", false);
   checker.look(174);
@@ -153,10 +153,11 @@
   expect_violation("forgotten");
 }
 
-// Once the faults are over, a job that waits for 90 s beside room for it is left waiting.
+// Once the faults are over, a job that waits for 90 s although there is room for it violates
+// left_waiting.
 TEST_F(RuleCheckerTest, DetectsAJobLeftWaitingDespiteFreeCapacity) {
-  accepted(job_spec("run-1"));
-  accepted(job_spec("run-2"));
+  submit_accepted(job_spec("run-1"));
+  submit_accepted(job_spec("run-2"));
   checker.faults_over(10);
   for (int now = 0; now <= 100; ++now) {
     checker.could_run(now, "run-1", true);
@@ -177,81 +178,81 @@
 }
 
 TEST_F(RuleCheckerTest, CountsStartsAfterAConfirmedCancellation) {
-  accepted(job_spec("run-1"));
-  checker.task_on(1, kHere, "run-1", 0);
+  submit_accepted(job_spec("run-1"));
+  checker.task_on(1, kMachine1, "run-1", 0);
   checker.cancel_asked("run-1");
   checker.phase_answered(2, "run-1", "cancelled");
   EXPECT_EQ(checker.starts_after_cancel(), 0u);
-  checker.task_on(3, kThere, "run-1", 1);
+  checker.task_on(3, kMachine2, "run-1", 1);
   EXPECT_EQ(checker.starts_after_cancel(), 1u);
 }
 
-// A task that hung and goes on is on its machine all the time.
 TEST_F(RuleCheckerTest, DetectsAHeartbeatAnsweredWithoutALease) {
   checker.answered_without_lease(1, "n1 answers m-000001");
   expect_violation("answered_without_lease");
 }
 
+// A task that resumes after a hang counts as having run on its machine all the time.
 TEST_F(RuleCheckerTest, DetectsACancelledTaskThatResumesAfterAHang) {
-  accepted(job_spec("run-1"));
-  checker.task_on(1, kHere, "run-1", 0);
+  submit_accepted(job_spec("run-1"));
+  checker.task_on(1, kMachine1, "run-1", 0);
   checker.cancel_asked("run-1");
   checker.phase_answered(2, "run-1", "cancelled");
-  checker.task_off("m-1", "run-1", 0);  // the lease ends it
+  checker.task_off("m-1", "run-1", 0);  // the worker ended it when its lease expired
   checker.look(43);
   EXPECT_TRUE(checker.violations().empty());
-  checker.task_on(44, kHere, "run-1", 0);
+  checker.task_on(44, kMachine1, "run-1", 0);
   expect_violation("ran_cancelled");
 }
 
 TEST_F(RuleCheckerTest, DetectsAJobThatStartsTooLate) {
-  accepted(job_spec("run-1"));
-  checker.task_on(241, kHere, "run-1", 0);
+  submit_accepted(job_spec("run-1"));
+  checker.task_on(241, kMachine1, "run-1", 0);
   checker.day_over(300);
   expect_violation("starved");
 }
 
-// Two of three small jobs are served, the largest not at all.
+// Three small jobs start, and the largest job does not.
 TEST_F(RuleCheckerTest, DetectsUnservedLargestJobs) {
   for (const char* id : {"run-1", "run-2", "run-3"}) {
-    accepted(job_spec(id));
-    checker.task_on(1, kHere, id, 0);
+    submit_accepted(job_spec(id));
+    checker.task_on(1, kMachine1, id, 0);
   }
-  accepted(job_spec("run-4", 50));
+  submit_accepted(job_spec("run-4", 50));
   checker.day_over(100);
   expect_violation("unserved");
 }
 
-// A job of which another one is a prerequisite.
+// Returns the job with `prerequisite` as its only prerequisite.
 JobSpec dependent(JobSpec dependent_job, const std::string& prerequisite) {
   dependent_job.prerequisites = {prerequisite};
   return dependent_job;
 }
 
 TEST_F(RuleCheckerTest, StartAfterThePrerequisiteIsDoneViolatesNothing) {
-  accepted(job_spec("run-1", 1));
-  accepted(dependent(job_spec("run-2", 1), "run-1"));
-  checker.task_on(1, kHere, "run-1", 0);
+  submit_accepted(job_spec("run-1", 1));
+  submit_accepted(dependent(job_spec("run-2", 1), "run-1"));
+  checker.task_on(1, kMachine1, "run-1", 0);
   checker.task_done(300, "run-1", 0);
   checker.task_off("m-1", "run-1", 0);
-  checker.task_on(301, kHere, "run-2", 0);
+  checker.task_on(301, kMachine1, "run-2", 0);
   checker.day_over(400);
   EXPECT_TRUE(checker.violations().empty());
 }
 
 TEST_F(RuleCheckerTest, DetectsAStartBeforeThePrerequisiteIsDone) {
-  accepted(job_spec("run-1", 2));
-  accepted(dependent(job_spec("run-2", 1), "run-1"));
-  checker.task_on(1, kHere, "run-1", 0);
+  submit_accepted(job_spec("run-1", 2));
+  submit_accepted(dependent(job_spec("run-2", 1), "run-1"));
+  checker.task_on(1, kMachine1, "run-1", 0);
   checker.task_done(2, "run-1", 0);  // one task of two
-  checker.task_on(3, kThere, "run-2", 0);
+  checker.task_on(3, kMachine2, "run-2", 0);
   expect_violation("too_early");
 }
 
 TEST_F(RuleCheckerTest, DetectsADependentOrphanedThroughAnIntermediateJob) {
-  accepted(job_spec("run-1"));
-  accepted(dependent(job_spec("run-2"), "run-1"));
-  accepted(dependent(job_spec("run-3"), "run-2"));
+  submit_accepted(job_spec("run-1"));
+  submit_accepted(dependent(job_spec("run-2"), "run-1"));
+  submit_accepted(dependent(job_spec("run-3"), "run-2"));
   checker.cancel_asked("run-1");
   checker.phase_answered(10, "run-1", "cancelled");
   checker.phase_answered(49, "run-3", "queued");
@@ -262,8 +263,8 @@
 }
 
 TEST_F(RuleCheckerTest, DetectsACancellationByAJobThatIsNoPrerequisite) {
-  accepted(job_spec("run-1"));
-  accepted(dependent(job_spec("run-2"), "run-1"));
+  submit_accepted(job_spec("run-1"));
+  submit_accepted(dependent(job_spec("run-2"), "run-1"));
   checker.cancel_asked("run-2");
   checker.phase_answered(1, "run-1", "cancelled");
   expect_violation("went_back");
--- a/tests/trace/fault_trace.h
+++ b/tests/trace/fault_trace.h
@@ -1,6 +1,8 @@
-// Days in the simulated cluster, written down as traces and compared in full. Each checks the rules
-// of the protocol; the traces in tests/traces/ are for reading. To write them anew after a change
-// of behaviour: EIDERREEL_WRITE_TRACES=1 target/tests/eiderreel_tests, then read the difference.
+// Scenarios in the simulated cluster whose traces are compared in full with those in tests/traces/,
+// which are also meant for reading. Each scenario checks the rules of the protocol too. After a
+// change of behaviour, write the traces again and review the difference:
+//
+//   EIDERREEL_WRITE_TRACES=1 target/tests/eiderreel_tests
 #pragma once
 #include <cstdlib>
 #include <fstream>
@@ -12,16 +14,16 @@
 
 namespace eiderreel::standin {
 
-// No machine with tasks has lost its lease.
-inline void expect_no_lease_ends(const SimulatedCluster& cluster) {
+// No lease of a machine with tasks has expired.
+inline void expect_no_lease_expired(const SimulatedCluster& cluster) {
   for (const auto& line : cluster.trace())
     EXPECT_EQ(line.find("lease expired"), std::string::npos) << line;
 }
 
 class FaultTrace : public testing::Test {
  protected:
-  // The rules are kept, and the trace equals tests/traces/NAME.txt.
-  void compare(SimulatedCluster& cluster, const std::string& name) {
+  // No rule is violated, and the trace equals tests/traces/NAME.txt.
+  void expect_trace_equals(SimulatedCluster& cluster, const std::string& name) {
     expect_rules_kept(cluster);
     std::string text;
     for (const auto& line : cluster.trace()) text += line + "\n";
@@ -31,12 +33,12 @@
       return;
     }
     std::ifstream in(path);
-    std::stringstream kept;
-    kept << in.rdbuf();
-    EXPECT_EQ(kept.str(), text) << "the trace differs from " << path;
+    std::stringstream expected;
+    expected << in.rdbuf();
+    EXPECT_EQ(expected.str(), text) << "the trace differs from " << path;
   }
-  // A service and an array for each team.
-  static void usual_load(SimulatedCluster& cluster, double time_s) {
+  // Submits a service and an array of each team.
+  static void submit_usual_load(SimulatedCluster& cluster, double time_s) {
     int n = 100;
     for (const char* team : {"red", "blue", "gold"}) {
       const std::string service = "run-" + std::to_string(++n);
@@ -47,7 +49,7 @@
       });
     }
   }
-  static void expect_usual_load_ends(SimulatedCluster& cluster) {
+  static void expect_usual_load_finished(SimulatedCluster& cluster) {
     for (const char* id : {"run-102", "run-104", "run-106"})
       EXPECT_EQ(cluster.phase(id), "done") << id;
     for (const char* id : {"run-101", "run-103", "run-105"})
@@ -55,7 +57,7 @@
   }
 };
 
-// What everybody must hear once the faults are over, from every node, in seconds.
+// Once the faults are over, every controller must answer a poll for each job within 2 s.
 inline void expect_all_answered(SimulatedCluster& cluster, const std::vector<std::string>& ids) {
   std::size_t answered = 0;
   for (const auto& id : ids)
@@ -65,8 +67,8 @@
   EXPECT_EQ(answered, ids.size() * 3);
 }
 
-// The jobs of usual_load().
-inline const std::vector<std::string> kUsualJobs = {"run-101", "run-102", "run-103",
-                                                    "run-104", "run-105", "run-106"};
+// The jobs of submit_usual_load().
+inline const std::vector<std::string> kUsualLoadJobs = {"run-101", "run-102", "run-103",
+                                                        "run-104", "run-105", "run-106"};
 
 }  // namespace eiderreel::standin
--- a/tests/trace/fault_trace_test.cc
+++ b/tests/trace/fault_trace_test.cc
@@ -1,4 +1,4 @@
-// Traces of days with one fault, or several, of controllers, machines, the state store and the
+// Traces of scenarios with one or several faults of controllers, machines, the state store and the
 // cloud; see fault_trace.h.
 #include "trace/fault_trace.h"
 
@@ -9,81 +9,82 @@
 
 TEST_F(FaultTrace, NoFaults) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(30, [&] { cluster.cancel("run-101"); });
   cluster.run_until(60);
   EXPECT_EQ(cluster.phase("run-101"), "cancelled");
   EXPECT_EQ(cluster.tasks_on("run-101"), 0u);
   EXPECT_EQ(cluster.phase("run-104"), "done");
-  compare(cluster, "quiet_day");
+  expect_trace_equals(cluster, "quiet_day");
 }
 
 TEST_F(FaultTrace, LeaderCrashes) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.crash(1); });
   cluster.run_until(70);
-  expect_usual_load_ends(cluster);
-  EXPECT_EQ(cluster.leader_of(1), 1);  // given back to its preferred leader
-  compare(cluster, "one_leader_crashes");
+  expect_usual_load_finished(cluster);
+  EXPECT_EQ(cluster.leader_of(1), 1);  // returned to its preferred leader
+  expect_trace_equals(cluster, "one_leader_crashes");
 }
 
 TEST_F(FaultTrace, AllControllersCrashAtOnce) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] {
     for (int i = 0; i < 3; ++i) cluster.crash(i);
   });
   cluster.run_until(70);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "all_crash_at_once");
+  expect_usual_load_finished(cluster);
+  expect_trace_equals(cluster, "all_crash_at_once");
 }
 
 TEST_F(FaultTrace, LeaderRestartsWithinAFractionOfASecond) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.crash(0, 0.2); });
   cluster.run_until(60);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "a_leader_is_back_at_once");
+  expect_usual_load_finished(cluster);
+  expect_trace_equals(cluster, "a_leader_is_back_at_once");
 }
 
 TEST_F(FaultTrace, RollingRestart) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   for (int i = 0; i < 3; ++i) cluster.at(9 + 10 * i, [&cluster, i] { cluster.crash(i); });
   cluster.run_until(90);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "rolling_restart");
+  expect_usual_load_finished(cluster);
+  expect_trace_equals(cluster, "rolling_restart");
 }
 
 TEST_F(FaultTrace, StateStoreOutage) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.state_outage(true); });
   cluster.at(24, [&] { cluster.state_outage(false); });
   cluster.run_until(70);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "state_outage");
+  expect_usual_load_finished(cluster);
+  expect_trace_equals(cluster, "state_outage");
 }
 
-// The state store refuses one node: it must step aside before its partition has a new leader.
+// The state store rejects one controller, which must stop acting as leader before its partition has
+// a new one.
 TEST_F(FaultTrace, StateStoreRejectsOneController) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.state_refuses(1, true); });
   cluster.at(40, [&] { cluster.state_refuses(1, false); });
   cluster.run_until(80);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "one_node_is_refused");
+  expect_usual_load_finished(cluster);
+  expect_trace_equals(cluster, "one_node_is_refused");
 }
 
-// A partition is given back to its preferred leader just when the state store refuses its holder:
-// the key must go all the same. Once it stayed, and the partition was without leader for as long as
-// that process lived.
+// A partition is returned to its preferred leader just when the state store rejects its current
+// leader. The partition's key must still be deleted: if it stays, the partition has no leader until
+// that process ends.
 TEST_F(FaultTrace, StateStoreRejectsAFailback) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.crash(1, 8); });
   cluster.at(20, [&] {
     EXPECT_NE(cluster.leader_of(1), 1);
@@ -94,20 +95,20 @@
   });
   cluster.run_until(60);
   EXPECT_EQ(cluster.leader_of(1), 1);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "a_failback_is_refused");
+  expect_usual_load_finished(cluster);
+  expect_trace_equals(cluster, "a_failback_is_refused");
 }
 
-// The claims of a vacant partition are lost and never land: it is claimed again all the same.
+// The claims of a vacant partition are lost and never applied: the claim must be retried.
 TEST_F(FaultTrace, PartitionClaimIsLost) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.crash(1, 60); });
-  bool cut = false;
+  bool claims_lost = false;
   for (double time_s = 10; time_s < 20; time_s += 0.05)
     cluster.at(time_s, [&] {
-      if (cut || cluster.leader_of(1) >= 0) return;
-      cut = true;
+      if (claims_lost || cluster.leader_of(1) >= 0) return;
+      claims_lost = true;
       cluster.at(cluster.now() + 0.25, [&] {
         cluster.cut({"n0", "n2"}, {"state"}, CutMode::reset);
       });
@@ -118,51 +119,52 @@
   cluster.run_until(60);
   for (const char* id : {"run-102", "run-104", "run-106"})
     EXPECT_EQ(cluster.phase(id), "done") << id;
-  compare(cluster, "a_claim_is_lost");
+  expect_trace_equals(cluster, "a_claim_is_lost");
 }
 
 TEST_F(FaultTrace, MachineDiesWithItsTasks) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.kill_machine(cluster.machines_of("run-101").at(0)); });
   cluster.run_until(70);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "a_machine_stops");
+  expect_usual_load_finished(cluster);
+  expect_trace_equals(cluster, "a_machine_stops");
 }
 
 TEST_F(FaultTrace, MachineHangsAndResumes) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.freeze_machine(cluster.machines_of("run-101").at(0), true); });
   cluster.at(30, [&] {
     for (int i = 0; i < 6; ++i) cluster.freeze_machine(machine(i), false);
   });
   cluster.run_until(70);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "a_machine_hangs");
+  expect_usual_load_finished(cluster);
+  expect_trace_equals(cluster, "a_machine_hangs");
 }
 
 TEST_F(FaultTrace, MachineFailsEveryTask) {
   SimulatedCluster cluster({});
   cluster.at(1, [&] { cluster.set_sick("m-000000", true); });
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.run_until(70);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "a_sick_machine");
+  expect_usual_load_finished(cluster);
+  expect_trace_equals(cluster, "a_sick_machine");
 }
 
-// A job that fails everywhere must neither condemn machines nor spin.
+// A job that fails on every machine must neither get healthy machines quarantined nor be restarted
+// without backoff.
 TEST_F(FaultTrace, JobFailsOnEveryMachine) {
   SimulatedCluster cluster({});
   cluster.set_failing("run-50");
   cluster.at(4, [&] { cluster.submit(cluster.job("run-50", "red", 4)); });
-  usual_load(cluster, 8);
+  submit_usual_load(cluster, 8);
   cluster.at(60, [&] { cluster.cancel("run-50"); });
   cluster.run_until(80);
-  expect_usual_load_ends(cluster);
+  expect_usual_load_finished(cluster);
   EXPECT_EQ(cluster.phase("run-50"), "cancelled");
   EXPECT_LT(cluster.checker().starts(), 150u);
-  compare(cluster, "a_job_fails_everywhere");
+  expect_trace_equals(cluster, "a_job_fails_everywhere");
 }
 
 TEST_F(FaultTrace, BurstProvisionsAndReturnsMachines) {
@@ -176,7 +178,7 @@
   cluster.run_until(240);
   for (int i = 1; i <= 6; ++i) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done");
   EXPECT_LT(cluster.machines_up(), 6u);
-  compare(cluster, "a_burst");
+  expect_trace_equals(cluster, "a_burst");
 }
 
 TEST_F(FaultTrace, CloudHasNoCapacityIsDownAndBootsHang) {
@@ -192,16 +194,16 @@
   cluster.at(60, [&] { cluster.stuck_boots(false); });
   cluster.run_until(140);
   EXPECT_EQ(cluster.phase("run-1"), "done");
-  compare(cluster, "cloud_troubles");
+  expect_trace_equals(cluster, "cloud_troubles");
 }
 
-// A node that missed more changes than the state store keeps reads the keys again, and then
-// knows what was accepted and what ended meanwhile.
+// A controller that missed more changes than the state store keeps must read all keys again, so
+// that its view has the jobs accepted and ended in the meantime.
 TEST_F(FaultTrace, ControllerMissesMoreChangesThanAreKept) {
   Options options;
   options.changes_kept = 4;
   SimulatedCluster cluster(options);
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.cut({"n1"}, {"state"}, CutMode::reset); });
   cluster.at(12, [&] { cluster.cancel("run-101"); });
   for (int i = 1; i <= 6; ++i)
@@ -212,22 +214,23 @@
   cluster.run_until(60);
   int status = 0;
   std::string phase;
-  cluster.poll_once(1, "run-101", [&](int code, std::string last) {
+  cluster.poll_once(1, "run-101", [&](int code, std::string polled_phase) {
     status = code;
-    phase = last;
+    phase = polled_phase;
   });
   cluster.run_until(62);
   EXPECT_EQ(status, 200);
   EXPECT_EQ(phase, "cancelled");
   EXPECT_EQ(cluster.node(1)->state_store().counters().replies.count(410), 1u);
   for (int i = 1; i <= 6; ++i) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done");
-  compare(cluster, "changes_missed");
+  expect_trace_equals(cluster, "changes_missed");
 }
 
-// Overlapping: an outage, a crash within it, machines lost, and a cancellation.
+// Overlapping faults: an outage of the state store, a controller crash, a lost machine and a
+// cancellation during the outage, and two more crashes after it.
 TEST_F(FaultTrace, FaultsOverlap) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(8, [&] { cluster.state_outage(true); });
   cluster.at(11, [&] { cluster.crash(2); });
   cluster.at(12, [&] { cluster.kill_machine("m-000003"); });
@@ -239,59 +242,60 @@
   EXPECT_EQ(cluster.phase("run-105"), "cancelled");
   for (const char* id : {"run-102", "run-104", "run-106"})
     EXPECT_EQ(cluster.phase(id), "done") << id;
-  compare(cluster, "troubles_overlap");
+  expect_trace_equals(cluster, "troubles_overlap");
 }
 
-// A machine's heartbeats arrive, but nothing reaches it; meanwhile its leader crashes. Its tasks go
-// on elsewhere, and it is not fed tasks that it cannot hear of.
+// The heartbeats of a machine arrive, but no reply or command reaches it, and its leader crashes in
+// the meantime. Its tasks must be restarted on other machines, and the scheduler must not keep
+// sending starts to it.
 TEST_F(FaultTrace, MachineReceivesNothingButItsHeartbeatsArrive) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
-  std::string deaf;
+  submit_usual_load(cluster, 5);
+  std::string unreachable;
   cluster.at(9, [&] {
-    deaf = cluster.machines_of("run-101").at(0);
-    cluster.deafen(deaf, true);
+    unreachable = cluster.machines_of("run-101").at(0);
+    cluster.deafen(unreachable, true);
   });
   cluster.at(20, [&] { cluster.crash(1); });
   for (int i = 1; i <= 6; ++i)
     cluster.at(20 + 4 * i, [&cluster, i] {
       cluster.submit(cluster.job("run-" + std::to_string(i), "red", 6, 1, 3));
     });
-  cluster.at(80, [&] { cluster.deafen(deaf, false); });
+  cluster.at(80, [&] { cluster.deafen(unreachable, false); });
   cluster.run_until(140);
   cluster.checker().faults_over(80);
-  expect_usual_load_ends(cluster);
+  expect_usual_load_finished(cluster);
   for (int i = 1; i <= 6; ++i) EXPECT_EQ(cluster.phase("run-" + std::to_string(i)), "done");
-  EXPECT_LT(cluster.launches_to(deaf), 16u);
-  expect_all_answered(cluster, kUsualJobs);
-  compare(cluster, "a_deaf_machine");
+  EXPECT_LT(cluster.launches_to(unreachable), 16u);
+  expect_all_answered(cluster, kUsualLoadJobs);
+  expect_trace_equals(cluster, "a_deaf_machine");
 }
 
-// Every heartbeat arrives again, 2 s and 25 s later, before and after a failover, a move and a
-// return.
+// Every heartbeat is delivered again 2 s and 25 s later, before and after a failover, a transfer of
+// machines between partitions and a return of machines to the cloud.
 TEST_F(FaultTrace, DuplicatedHeartbeatsArriveLate) {
   SimulatedCluster cluster({});
   cluster.duplicate_heartbeats(true);
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(7, [&] { cluster.submit(cluster.job("run-1", "red", 100, 1, 8)); });
   cluster.at(15, [&] { cluster.crash(0); });
   cluster.at(40, [&] { cluster.kill_machine("m-000004"); });
   cluster.at(90, [&] { cluster.crash(2, 0.3); });
   cluster.run_until(260);
   cluster.checker().faults_over(100);
-  expect_usual_load_ends(cluster);
+  expect_usual_load_finished(cluster);
   EXPECT_EQ(cluster.phase("run-1"), "done");
-  // No phantom: what the service counts as machines are those that are there.
+  // The state store lists no machine that does not exist.
   EXPECT_LE(cluster.node(0)->state_store().view().machines.size(), cluster.machines_up());
-  expect_all_answered(cluster, kUsualJobs);
-  compare(cluster, "late_copies");
+  expect_all_answered(cluster, kUsualLoadJobs);
+  expect_trace_equals(cluster, "late_copies");
 }
 
-// A controller pauses for longer than its lease, then wakes with all that came meanwhile in
-// its buffers. It must not act for its partition, which has another leader by then.
+// A controller pauses for longer than its lease and resumes with the messages of that time in its
+// buffers. It must not act for its partition, which has another leader by then.
 TEST_F(FaultTrace, ControllerPausesBeyondItsLease) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.freeze(1, 17); });
   cluster.at(14, [&] { cluster.cancel("run-103"); });
   cluster.at(25, [&] { EXPECT_NE(cluster.leader_of(1), 1); });
@@ -299,32 +303,34 @@
   EXPECT_EQ(cluster.leader_of(1), 1);
   EXPECT_EQ(cluster.phase("run-103"), "cancelled");
   EXPECT_EQ(cluster.phase("run-104"), "done");
-  expect_no_lease_ends(cluster);
-  compare(cluster, "a_controller_stands_still");
+  expect_no_lease_expired(cluster);
+  expect_trace_equals(cluster, "a_controller_stands_still");
 }
 
-// Workers that leave a silent leader are not sent back to it: their leases would end meanwhile.
+// Workers that leave an unresponsive leader must not be redirected to it: their leases would
+// expire.
 TEST_F(FaultTrace, WorkersOfAPausedLeaderFindTheNewLeaderInTime) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Options options;
     options.seed = seed;
     options.machines = 24;
     SimulatedCluster cluster(options);
-    usual_load(cluster, 5);
+    submit_usual_load(cluster, 5);
     cluster.at(9 + 0.13 * static_cast<double>(seed), [&] { cluster.freeze(1, 30); });
     cluster.at(25, [&] { EXPECT_NE(cluster.leader_of(1), 1); });
     cluster.run_until(60);
-    expect_no_lease_ends(cluster);
+    expect_no_lease_expired(cluster);
     EXPECT_TRUE(cluster.checker().violations().empty());
   }
 }
 
-// Processes back within a fraction of a second: while a partition is claimed, while votes are out,
-// while a partition is given back to its preferred leader; late copies of heartbeats follow.
+// Controllers restart within a fraction of a second while a partition is claimed, while votes are
+// pending, and while a partition is returned to its preferred leader; delayed duplicates of
+// heartbeats arrive in addition.
 TEST_F(FaultTrace, ControllersRestartDuringElections) {
   SimulatedCluster cluster({});
   cluster.duplicate_heartbeats(true);
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.crash(1, 8); });
   for (double time_s : {14.0, 14.3, 14.6})
     cluster.at(time_s, [&cluster] { cluster.crash(0, 0.2); });
@@ -337,13 +343,13 @@
     cluster.at(time_s, [&cluster] { cluster.crash(1, 0.15); });
   cluster.run_until(140);
   cluster.checker().faults_over(50);
-  expect_usual_load_ends(cluster);
-  expect_all_answered(cluster, kUsualJobs);
-  compare(cluster, "back_in_mid_election");
+  expect_usual_load_finished(cluster);
+  expect_all_answered(cluster, kUsualLoadJobs);
+  expect_trace_equals(cluster, "back_in_mid_election");
 }
 
-// More is asked than there is, for minutes: a large array with a far deadline and a small team's
-// job begin in time all the same.
+// Demand exceeds capacity for minutes: a large array with a distant deadline and a job of a small
+// team must still start in time.
 TEST_F(FaultTrace, OverloadStarvesNoJob) {
   Options options;
   options.machines = 2;
@@ -365,7 +371,7 @@
     });
   cluster.run_until(320);
   cluster.checker().day_over(320);
-  compare(cluster, "overload");
+  expect_trace_equals(cluster, "overload");
 }
 
 }  // namespace
--- a/tests/trace/network_partition_trace_test.cc
+++ b/tests/trace/network_partition_trace_test.cc
@@ -1,5 +1,5 @@
-// Traces of days with a network partition. Connections across it either hang until it heals, or are
-// reset; every day is played both ways.
+// Traces of scenarios with a network partition. Connections across it either hang until it heals or
+// are reset; every scenario runs in both modes.
 #include "trace/fault_trace.h"
 
 using namespace eiderreel;
@@ -14,72 +14,73 @@
 
 TEST_P(NetworkPartitionTrace, LeaderIsIsolated) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.cut({"n1"}, {SimulatedCluster::all()}, GetParam()); });
   cluster.at(40, [&] { cluster.heal(); });
   cluster.run_until(90);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "leader_cut_" + mode());
+  expect_usual_load_finished(cluster);
+  expect_trace_equals(cluster, "leader_cut_" + mode());
 }
 
 TEST_P(NetworkPartitionTrace, LeaderLosesTheStateStore) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.cut({"n1"}, {"state"}, GetParam()); });
   cluster.at(12, [&] { cluster.cancel("run-103"); });
   cluster.at(40, [&] { cluster.heal(); });
   cluster.run_until(90);
   EXPECT_EQ(cluster.phase("run-103"), "cancelled");
   EXPECT_EQ(cluster.phase("run-104"), "done");
-  compare(cluster, "leader_cut_from_state_" + mode());
+  expect_trace_equals(cluster, "leader_cut_from_state_" + mode());
 }
 
-// The peer links is down: users are still answered correctly by every node.
+// The links between the controllers are down: every controller must still answer users correctly.
 TEST_P(NetworkPartitionTrace, PeerLinksAreDown) {
   SimulatedCluster cluster({});
   cluster.at(3, [&] { cluster.cut({"n0", "n1", "n2"}, {"n0", "n1", "n2"}, GetParam()); });
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(20, [&] { cluster.cancel("run-101"); });
   cluster.at(40, [&] { cluster.heal(); });
   cluster.run_until(70);
   EXPECT_EQ(cluster.phase("run-101"), "cancelled");
   EXPECT_EQ(cluster.phase("run-104"), "done");
-  compare(cluster, "peer_links_down_" + mode());
+  expect_trace_equals(cluster, "peer_links_down_" + mode());
 }
 
-// Heartbeats and commands held for longer than a lease arrive at last, and change nothing.
+// Heartbeats and commands that arrive after having been held for longer than a lease must have no
+// effect.
 TEST_P(NetworkPartitionTrace, MachinesAreIsolatedBeyondTheirLease) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] {
     cluster.cut({"w-m-000000", "w-m-000001", "w-m-000002"}, {SimulatedCluster::all()}, GetParam());
   });
   cluster.at(30, [&] { cluster.heal(); });
   cluster.run_until(90);
-  expect_usual_load_ends(cluster);
-  compare(cluster, "machines_cut_" + mode());
+  expect_usual_load_finished(cluster);
+  expect_trace_equals(cluster, "machines_cut_" + mode());
 }
 
-// A controller reaches its workers alone: it stops in time, they find the new leader before their
-// lease ends, and it comes back.
+// A controller can reach only its workers. It must stop acting as leader in time, its workers must
+// find the new leader before their leases expire, and it must rejoin after the partition heals.
 TEST_P(NetworkPartitionTrace, LeaderReachesOnlyItsWorkers) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   cluster.at(9, [&] { cluster.cut({"n1"}, {"state", "cloud", "n0", "n2", "user"}, GetParam()); });
   cluster.at(50, [&] { cluster.heal(); });
   cluster.run_until(90);
   cluster.checker().faults_over(50);
-  expect_usual_load_ends(cluster);
-  expect_no_lease_ends(cluster);
-  expect_all_answered(cluster, kUsualJobs);
-  compare(cluster, "only_workers_" + mode());
+  expect_usual_load_finished(cluster);
+  expect_no_lease_expired(cluster);
+  expect_all_answered(cluster, kUsualLoadJobs);
+  expect_trace_equals(cluster, "only_workers_" + mode());
 }
 
-// A controller loses its workers alone. They are served by a peer before their leases end, and by
-// it again once it hears them.
+// A controller loses only the connections to its workers. Another controller must serve them before
+// their leases expire, and the first one again once their heartbeats reach it.
 TEST_P(NetworkPartitionTrace, LeaderLosesItsWorkers) {
   SimulatedCluster cluster({});
-  usual_load(cluster, 5);
+  submit_usual_load(cluster, 5);
   std::set<std::string> workers;
   for (int i = 0; i < 20; ++i) {
     const std::string n = std::to_string(i);
@@ -91,10 +92,10 @@
   cluster.run_until(90);
   EXPECT_EQ(cluster.leader_of(1), 1);
   cluster.checker().faults_over(50);
-  expect_usual_load_ends(cluster);
-  expect_no_lease_ends(cluster);
-  expect_all_answered(cluster, kUsualJobs);
-  compare(cluster, "workers_lost_" + mode());
+  expect_usual_load_finished(cluster);
+  expect_no_lease_expired(cluster);
+  expect_all_answered(cluster, kUsualLoadJobs);
+  expect_trace_equals(cluster, "workers_lost_" + mode());
 }
 
 INSTANTIATE_TEST_SUITE_P(Modes, NetworkPartitionTrace,
