--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -1,4 +1,4 @@
-// What comes over the wire: every malformed form is refused, and nothing breaks on it.
+// Decoding of data from the network: malformed input is rejected and does no harm.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -133,7 +133,8 @@
   }
 }
 
-// Seeded malformed input: flipped and cut bytes are refused or read, never a crash.
+// Seeded random corruption: input with changed or missing bytes is rejected or decoded, and never
+// crashes the decoder.
 TEST(MalformedInput, PeerMessagesAndJsonAreHarmless) {
   std::mt19937_64 random(7);
   PartitionLoad load;
@@ -164,7 +165,8 @@
   return bytes;
 }
 
-// A rolling restart mixes builds: these bytes were written before the messages had these names.
+// A rolling restart mixes builds: these bytes were encoded by a build from before the messages were
+// renamed.
 TEST(PeerMessages, RoundTripBytesOfEarlierBuilds) {
   const peer_rpc::VoteRequest request{4, 3000, {{1, 77}}, 93};
   const peer_rpc::Vote vote{4, true, {{"run-1", JobPhase::cancelled, 95}}};
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -1,5 +1,5 @@
-// Two versions at once. The fixed samples were written by the build before prerequisites; what is
-// written now has in it all that that build reads.
+// Compatibility of builds that run side by side. The samples were encoded by the build before
+// prerequisites; what the current build encodes contains everything that the earlier build reads.
 #include <gtest/gtest.h>
 
 #include "codec/state_json.h"
@@ -42,7 +42,7 @@
   EXPECT_EQ(job.job->tasks, 16u);
   EXPECT_EQ(job.job->accepted_at, 1764668592000);
   EXPECT_TRUE(job.job->prerequisites.empty());
-  EXPECT_EQ(codec::encode(*job.job, "n0.b1.7"), kOldJob);  // and written as before
+  EXPECT_EQ(codec::encode(*job.job, "n0.b1.7"), kOldJob);  // and encoded as before
 
   const auto partition = read("e/part/2", kOldPartition);
   ASSERT_TRUE(partition.partition);
@@ -65,7 +65,7 @@
   EXPECT_EQ(progress.progress->tasks, (std::vector<std::uint32_t>{32768, 32770, 32779}));
 }
 
-// The fields that the earlier build asks for are there, whatever else is.
+// The fields that the earlier build requires are present, whatever other fields there are.
 TEST(CurrentValues, HoldAllThatTheEarlierBuildReads) {
   const std::string node = codec::encode(codec::NodeRecord{"b1", 9, 1, {}}, "n0.b1.7");
   EXPECT_EQ(node, R"({"n":"n0.b1.7","boot":"b1","grant":9,"features":1})");
@@ -77,7 +77,8 @@
   EXPECT_EQ(codec::progress_key(2, "run-1", {32768, 32768}), "d/2/run-1/1");
 }
 
-// The earlier build wants every field of a job at the top of its record. It finds none there.
+// The earlier build requires every field of a job at the top level of its record. A job with
+// prerequisites has none of them there, so the earlier build ignores it.
 TEST(CurrentValues, JobWithPrerequisitesIsHiddenFromTheEarlierBuild) {
   JobSpec job = *read("e/job/run-000412", kOldJob).job;
   job.prerequisites = {"run-000398", "run-000405"};
@@ -105,7 +106,8 @@
   EXPECT_EQ(parsed->chunk, 2u);
 }
 
-// Whole chunks wherever they fit; else values of the size that is left, each readable by itself.
+// Progress is stored in whole chunks where they fit the value limit, otherwise in smaller ranges,
+// each of which can be decoded separately.
 TEST(Progress, FitsIntoValuesOfAnySize) {
   for (const std::size_t value_bytes : {1024u, 2048u, 8192u}) {
     for (const std::uint32_t tasks : {1u, 1000u, 12000u, 100000u}) {
@@ -133,7 +135,7 @@
 
 struct OldMessage {
   const char* name;
-  std::size_t kind;  // of peer links::Body
+  std::size_t kind;  // index in peer_rpc::Body
   std::string bytes;
 };
 
--- a/tests/decode_error_test.cc
+++ b/tests/decode_error_test.cc
@@ -1,4 +1,4 @@
-// What decoders say of input that they refuse: the fault and the field.
+// Errors of the decoders: the fault and the field.
 #include "codec/decode_error.h"
 
 #include <gtest/gtest.h>
@@ -58,7 +58,7 @@
   expect_error(codec::unpack_roaring("AAAA", 0), DecodeFault::not_a_bitmap, "");
 }
 
-// The texts of these are told to users.
+// These texts are returned to users.
 TEST(DecodeErrors, KeepTheTextsForUsers) {
   EXPECT_EQ(codec::parse_job("[]").error, "not an object");
   EXPECT_EQ(codec::parse_job("{}").error, "field name_id is missing or invalid");
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -1,4 +1,4 @@
-// The graph of jobs that wait for other jobs, on its own.
+// Unit tests of the graph of jobs and their prerequisites.
 #include "scheduler/dependency_graph.h"
 
 #include <gtest/gtest.h>
@@ -99,13 +99,13 @@
   open(job(3, Priority::high), {id(2)});
   open(job(4, Priority::production), {id(2), id(8)});
   EXPECT_EQ(graph.urgency(id(1))->priority, Priority::production);
-  graph.record_final(id(8), cancelled());  // and 4 with it
+  graph.record_final(id(8), cancelled());  // cancels job 4 too
   EXPECT_EQ(graph.urgency(id(1))->priority, Priority::high);
   graph.record_final(id(3), cancelled());
   EXPECT_EQ(graph.urgency(id(1))->priority, Priority::best_effort);
 }
 
-// A record that is gone without a word of its end leaves its dependents waiting.
+// Removing a job record without a final phase leaves its dependents waiting.
 TEST_F(DependencyGraphTest, DependentsOfAJobWithUnknownOutcomeKeepWaiting) {
   open(job(2), {id(1)});
   open(job(3), {id(2)});
@@ -121,7 +121,7 @@
 TEST_F(DependencyGraphTest, ChainOfThousandsPropagatesWithoutRecursion) {
   constexpr int kLength = 20000;
   for (int n = 2; n <= kLength; ++n) open(job(n, Priority::standard), {id(n - 1)});
-  EXPECT_LT(graph.edges_visited(), 3u * kLength);  // nothing changes for those far before
+  EXPECT_LT(graph.edges_visited(), 3u * kLength);  // urgency doesn't change far upstream
   graph.record_final(id(1), cancelled());
   EXPECT_EQ(graph.take_effects().cancelled.size(), static_cast<std::size_t>(kLength - 1));
   EXPECT_LT(graph.edges_visited(), 8u * kLength);
--- a/tests/http_api_test.cc
+++ b/tests/http_api_test.cc
@@ -1,4 +1,4 @@
-// What users get from the HTTP API of a controller.
+// Replies of a controller's HTTP API to users.
 #include <gtest/gtest.h>
 
 #include "standin/simulated_cluster.h"
@@ -36,7 +36,7 @@
       submission(cluster.job("run-1", "red", 1, 9)));  // no machine has nine CPUs
   EXPECT_EQ(status, 422);
   JobSpec service = cluster.job("run-1", "red", 7, 8);
-  service.kind = JobKind::service;  // 56 CPUs at once, above the limit of 48
+  service.kind = JobKind::service;  // 56 CPUs at once, above the quota of 48
   ask("POST", "/v1/jobs", submission(service));
   EXPECT_EQ(status, 422);
   ask("GET", "/v1/jobs/run-1");
@@ -85,7 +85,7 @@
   EXPECT_NE(body.find("\"owner\":\"n2\""), std::string::npos) << body;
 }
 
-// Invariant 9: what cannot be taken is refused at once.
+// Invariant 9: a submission that cannot be accepted is rejected immediately.
 TEST_F(HttpApi, SubmissionsAreRejectedImmediatelyDuringAnOutage) {
   cluster.state_outage(true);
   ask("POST", "/v1/jobs", submission(cluster.job("run-1", "red", 1)));
--- a/tests/layering_test.cc
+++ b/tests/layering_test.cc
@@ -1,4 +1,5 @@
-// Folders under src/ include what stands below them, never what stands above.
+// A folder under src/ may include headers of its own layer and of lower layers, never of higher
+// ones.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 
 namespace fs = std::filesystem;
 
-// From the lowest to the highest; docs/architecture.md tells what each is for.
+// From the lowest to the highest; docs/architecture.md describes each layer.
 constexpr std::array kLayers = {
     "model",      "versioning",  "runtime",    "config", "observability", "scheduler", "codec",
     "peer_rpc",   "state_store", "leadership", "cloud",  "fleet",         "api",       "upgrade",
--- a/tests/measure/upgrade_measures.cc
+++ b/tests/measure/upgrade_measures.cc
@@ -1,5 +1,5 @@
-// Measures cluster versions in the simulated cluster and prints tables; see docs/results.md. Not a
-// test, and not part of CI:
+// Measures the effects of cluster versions in the simulated cluster and prints tables; see
+// docs/results.md. Not a test, and not part of CI:
 //
 //   cmake --build target --target eiderreel_measures && target/tests/eiderreel_measures [TABLE ...]
 #include <sys/resource.h>
@@ -31,7 +31,7 @@
   double slowest_s = 0, sum_s = 0;
 };
 
-// Submissions ten times a second to nodes in turn, each tried once.
+// Submits ten jobs per second, to the controllers in turn and without retries.
 void submit_steadily(UpgradeCluster& cluster, double from, double to, Load& load) {
   int n = 0;
   for (double time_s = from; time_s < to; time_s += 0.1, ++n)
@@ -71,7 +71,7 @@
 
 void measure_steps() {
   std::printf(
-      "users during steps: 300 submissions in 30 s, 5 seeds; steps: one asked for every 3 s\n");
+      "users during steps: 300 submissions in 30 s, 5 seeds; steps: one requested every 3 s\n");
   for (const bool steps : {false, true}) {
     Load sum;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -139,7 +139,7 @@
 struct ArrayCase {
   std::uint32_t tasks = 0;
   double value_kb = 8;
-  double spread_s = 20;  // from the first end to the last
+  double spread_s = 20;  // between the first and the last completion
   Ends ends = Ends::at_random;
 };
 
@@ -201,7 +201,8 @@
 
 void measure_large() {
   std::printf(
-      "\n4,000 machines, 200 s with 300 arrays, three controllers and the world in one process\n");
+      "\n4,000 machines, 200 s with 300 arrays, three controllers and the simulated cluster in one "
+      "process\n");
   for (const bool enabled : {false, true, false, true}) {
     Options options = upgrade_options(1);
     if (!enabled) options.upgrades.reset();
--- a/tests/measure/write_fixtures.cc
+++ b/tests/measure/write_fixtures.cc
@@ -1,7 +1,7 @@
-// Wrote tests/fixtures/state_store.json and peer_messages.txt: what controllers of the sources
-// before the renaming of issue 33 keep in the state store and say to each other. Kept as a record
-// of how they were made; whoever runs it again replaces what tests/stored_state_test.cc holds later
-// sources to. Not a test, and not part of CI:
+// Generated tests/fixtures/state_store.json and peer_messages.txt: the stored values and peer
+// messages of controllers built from the source before the renaming of issue 33. Kept to document
+// how the fixtures were made. Running it again replaces the reference data of
+// tests/stored_state_test.cc and the related tests. Not a test, and not part of CI:
 //
 //   cmake --build target --target eiderreel_write_fixtures
 //   target/tests/eiderreel_write_fixtures DIRECTORY
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr double kDayS = 125;  // s; what ends in a day ends long before
+constexpr double kDayS = 125;  // long after the last completion in a run
 
 void submit_all(UpgradeCluster& cluster, const std::vector<StoredJob>& jobs) {
   for (const StoredJob& job : jobs)
@@ -35,7 +35,7 @@
   return values;
 }
 
-// Controllers that take no part in cluster versions.
+// First run: controllers with cluster versions disabled.
 StoredValues first_day() {
   UpgradeCluster cluster(stored_day_options());
   submit_all(cluster, jobs_of_first_day());
@@ -45,14 +45,14 @@
   return values_of(cluster);
 }
 
-// A machine fails, and is released; the cloud does not take it back before the day is over.
+// A machine fails and is released; a cloud outage keeps it from being returned before the run ends.
 void release_a_machine(UpgradeCluster& cluster) {
   cluster.kill_machine(kReleasedMachine);
   while (cluster.lines("machine released") == 0) cluster.run_until(cluster.now() + 0.01);
   cluster.cloud_outage(true);
 }
 
-// Steps of every kind, and a machine that is released.
+// Second run: steps of every kind, and a released machine.
 StoredValues second_day() {
   Options options = stored_day_options();
   options.upgrades = enabled_upgrades();
@@ -68,7 +68,7 @@
   return values_of(cluster);
 }
 
-// Values of a kind that no short day leaves behind.
+// Adds values of kinds that a short run doesn't leave behind.
 void add_rare_values(StoredValues& values) {
   const std::string nonce = "n0.b1.999";
   values[codec::job_key(every_field_set().id)] = codec::encode(every_field_set(), nonce);
@@ -77,8 +77,8 @@
       codec::encode_progress(left_over_tasks(), kLeftOverRange, upgrade::ProgressForm::bits, nonce);
 }
 
-// The jobs of both days, and the rest as the second day left it; one controller has still the
-// record of the first.
+// The jobs of both runs and the other values of the second run; one controller keeps its node
+// record of the first run.
 StoredValues merged(const StoredValues& first, StoredValues values) {
   for (const auto& [key, value] : first)
     if (key.starts_with("e/job/") || key.starts_with("e/awaits/") || key.starts_with("e/final/") ||
@@ -87,7 +87,7 @@
   return values;
 }
 
-// A row a line, the values byte for byte as they are stored.
+// Writes one row per line, with each value byte for byte as stored.
 void write_values(const std::string& file, const StoredValues& values) {
   std::ofstream out(file);
   const char* separator = "[\n";
--- a/tests/prerequisites_upgrade_test.cc
+++ b/tests/prerequisites_upgrade_test.cc
@@ -1,4 +1,4 @@
-// The upgrade from the build that knows no prerequisites: both builds serve side by side.
+// The upgrade from the build without prerequisites, with both builds running side by side.
 #include <array>
 
 #include "standin/chains.h"
@@ -21,7 +21,7 @@
     options.next_write_rps = 60;
     return options;
   }
-  // Jobs before, during and after, some of them cancelled.
+  // Jobs before, during and after the upgrade, some of them cancelled.
   static void submit_ordinary(SimulatedCluster& cluster) {
     for (int n = 0; n < 20; ++n) {
       cluster.at(5 + 2.5 * n, [&cluster, n] {
@@ -41,7 +41,8 @@
   SimulatedCluster cluster(old_build(GetParam()));
   std::map<int, int> mixed;
   submit_ordinary(cluster);
-  cluster.at(14, [&] { cluster.crash(1, 3); });  // before its turn: it comes back old
+  cluster.at(14,
+             [&] { cluster.crash(1, 3); });  // before its upgrade: it restarts with the old build
   cluster.at(20, [&] { cluster.upgrade(0); });
   cluster.at(28, [&] {
     cluster.raw(0, "POST", "/v1/jobs",
@@ -54,7 +55,7 @@
   cluster.at(52, [&] { submit_pipeline(cluster, 5); });
   cluster.at(60, [&] { cluster.crash(cluster.leader_of(1), 4); });
   cluster.run_until(140);
-  EXPECT_EQ(mixed[503], 1);  // a peer is known to be old
+  EXPECT_EQ(mixed[503], 1);  // refused, since a peer runs the old build
   expect_ordinary_ended(cluster);
   expect_phase(cluster, {"run-1", "run-2", "run-3"}, "done");
   EXPECT_EQ(cluster.refused_too_large(), 0u);
@@ -67,7 +68,7 @@
   cluster.at(20, [&] { cluster.upgrade(2); });
   cluster.at(27, [&] { cluster.state_outage(true); });
   cluster.at(39, [&] { cluster.state_outage(false); });
-  cluster.at(42, [&] {  // all at once; one comes back old
+  cluster.at(42, [&] {  // all restart at once; n1 restarts with the old build
     cluster.upgrade(0, 1);
     cluster.crash(1, 2);
     cluster.crash(2, 3);
@@ -80,7 +81,7 @@
   expect_rules_kept(cluster);
 }
 
-// Nothing is known of a controller that is away: that is no reason to refuse.
+// The build of a controller that is down is unknown; that is no reason to refuse chains.
 TEST_P(PrerequisitesUpgrade, AbsentControllerDoesNotBlockChains) {
   SimulatedCluster cluster(seeded(GetParam()));
   cluster.at(10, [&] { cluster.crash(2, 500); });
@@ -90,7 +91,7 @@
   expect_rules_kept(cluster);
 }
 
-// An earlier build that comes back finds jobs with prerequisites: it starts none of them.
+// A controller that is downgraded to the earlier build starts no job with prerequisites.
 TEST_P(PrerequisitesUpgrade, EarlierBuildIgnoresJobsWithPrerequisites) {
   Options options = seeded(GetParam());
   options.old_nodes = {0, 1, 2};
--- a/tests/processes/child_process.cc
+++ b/tests/processes/child_process.cc
@@ -15,7 +15,7 @@
   arguments.push_back(nullptr);
   pid_ = fork();
   if (pid_ != 0) return;
-  prctl(PR_SET_PDEATHSIG, SIGKILL);  // it ends with the test, however that ends
+  prctl(PR_SET_PDEATHSIG, SIGKILL);  // killed with the test process, even if that crashes
   const int output = open(output_file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
   dup2(output, STDOUT_FILENO);
   dup2(output, STDERR_FILENO);
--- a/tests/processes/child_process.h
+++ b/tests/processes/child_process.h
@@ -1,4 +1,4 @@
-// Child processes of a test: controllers that run until they are killed, and commands that end.
+// Child processes of a test: controllers, which run until killed, and commands, which exit.
 #pragma once
 #include <sys/types.h>
 
@@ -10,15 +10,15 @@
 
 class ChildProcess {
  public:
-  // Standard output and error go to this file, after what is there.
+  // Appends standard output and standard error to `output_file`.
   ChildProcess(const std::vector<std::string>& command, const std::string& output_file);
-  ~ChildProcess();  // kills it if it still runs
+  ~ChildProcess();  // kills a process that is still running
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
   void kill();
-  void stop(bool on);  // it pauses, or goes on
-  // Its exit code once it has ended, -1 where a signal ended it; nothing while it runs.
+  void set_suspended(bool suspended);  // by SIGSTOP and SIGCONT
+  // The exit code, -1 if a signal ended the process; nullopt while it is running.
   std::optional<int> exit_code();
 
  private:
--- a/tests/processes/command_line_test.cc
+++ b/tests/processes/command_line_test.cc
@@ -1,5 +1,5 @@
-// The upgrade commands of the real program: exit codes, what is said of bad input, and answers
-// while controllers and the state store fail.
+// The upgrade commands of the real program: exit codes, error messages for invalid input, and
+// replies while controllers and the state store fail.
 #include <unistd.h>
 
 #include <chrono>
@@ -51,7 +51,7 @@
 };
 
 TEST_F(CommandLine, InvalidOptionsAreNamedAndNothingIsSent) {
-  const std::string addr = "127.0.0.1:1";  // where nobody listens
+  const std::string addr = "127.0.0.1:1";  // no process listens on this port
   EXPECT_EQ(run({"upgrade"}), kMalformed);
   EXPECT_EQ(run({"upgrade", "status"}), kMalformed);
   EXPECT_TRUE(said("--addr")) << output_;
@@ -98,7 +98,8 @@
   ~CommandsDuringFailures() override {
     if (!HasFailure()) std::filesystem::remove_all(cluster_.directory());
   }
-  // All controllers have acknowledged the version, and know so of each other.
+  // Waits until all controllers have acknowledged the version, and then a second more until each
+  // has seen the others' records.
   bool all_act_under(std::uint64_t version) {
     const bool all = cluster_.run_until(20, [&] {
       return cluster_.simulated_cluster().acting(0) == version &&
@@ -108,7 +109,7 @@
     cluster_.run_for(1);
     return all;
   }
-  // How long a command took, seconds; its exit code is checked against those that may be.
+  // Runs a command, checks that its exit code is among `codes` and returns its duration in seconds.
   double timed(const std::vector<std::string>& words, const std::set<int>& codes) {
     const double began = cluster_.now();
     const int code = cluster_.command(build_, words);
@@ -130,7 +131,7 @@
   EXPECT_LT(timed({"advance", "--dry-run"}, {kDone}), kBoundedS);
   EXPECT_EQ(cluster_.simulated_cluster().cluster_version(), 1u);
 
-  // One controller is gone: the others answer, and say what is missing.
+  // One controller is down: the others reply and name it as an obstacle.
   cluster_.kill(0);
   cluster_.run_for(6);
   EXPECT_LT(timed(advance, {kFailed}), kBoundedS);
@@ -138,14 +139,15 @@
   cluster_.start(0, build_);
   ASSERT_TRUE(all_act_under(1));
 
-  // The state store refuses all: nothing was done, or it is not known.
+  // The state store rejects every request: the command fails or reports an unknown outcome.
   cluster.state_outage(true);
   EXPECT_LT(timed(advance, {kFailed, kNotKnown}), kBoundedS);
   cluster.state_outage(false);
   cluster_.run_for(3);
   ASSERT_EQ(cluster_.simulated_cluster().cluster_version(), 1u);
 
-  // It carries transactions out late and without an answer: the outcome is read, not tried again.
+  // The state store applies transactions late and without a reply: the controller reads the outcome
+  // instead of retrying the step.
   ASSERT_TRUE(all_act_under(1));
   cluster.late_writes({1, 1, 3});
   EXPECT_LT(timed(advance, {kDone, kNotKnown}), kBoundedS);
@@ -154,7 +156,7 @@
   EXPECT_EQ(cluster_.simulated_cluster().cluster_version(), 2u);
   EXPECT_EQ(cluster_.simulated_cluster().versions().versions(), (std::vector<std::uint64_t>{1, 2}));
 
-  // It is slow.
+  // The state store is slow.
   ASSERT_TRUE(all_act_under(2));
   cluster.state_slow(1.0);
   EXPECT_LT(timed({"status"}, {kDone}), kBoundedS);
--- a/tests/processes/process_cluster.cc
+++ b/tests/processes/process_cluster.cc
@@ -14,8 +14,8 @@
 
 constexpr int kControllers = 3;
 constexpr Ms kStepMs = 2;                 // pace of the simulated cluster
-constexpr double kCommandPatienceS = 60;  // s; every command answers within a bounded time
-constexpr Ms kUserPatienceMs = 5000;      // how long a client waits for a controller
+constexpr double kCommandPatienceS = 60;  // above the bounded time of every command
+constexpr Ms kUserPatienceMs = 5000;      // for requests without a timeout of their own
 
 Ms steady_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -57,7 +57,8 @@
   state_.reset();
   cloud_.reset();
   clients_.clear();
-  event_base_loop(base_.get(), EVLOOP_NONBLOCK);  // what they have left for later
+  event_base_loop(base_.get(),
+                  EVLOOP_NONBLOCK);  // runs deferred callbacks of the closed connections
 }
 
 StandInServer::Handler ProcessCluster::stand_in(const std::string& name) {
@@ -66,7 +67,7 @@
   };
 }
 
-// Each machine has a port of its own; the simulated cluster knows it by that address.
+// Each machine has its own port; the simulated cluster identifies the machine by that address.
 std::string ProcessCluster::add_worker(const std::string& machine) {
   auto& server = workers_[machine];
   server = std::make_unique<StandInServer>(
--- a/tests/processes/process_cluster.h
+++ b/tests/processes/process_cluster.h
@@ -1,5 +1,5 @@
-// Three controllers as real processes on loopback. state store, cloud, workers and users are
-// those of the simulated cluster, served over real sockets, in real time.
+// Three controllers as real processes on loopback. The state store, the cloud, the workers and the
+// users are those of the simulated cluster, served over real sockets in real time.
 #pragma once
 #include <map>
 #include <memory>
@@ -14,10 +14,10 @@
 
 namespace eiderreel::standin {
 
-// A build of the controller.
+// A build of the controller program.
 struct ControllerBuild {
   std::string program;
-  bool takes_upgrade_file = true;  // the builds before cluster versions know of none
+  bool takes_upgrade_file = true;  // builds before cluster versions have no `--upgrade`
 };
 
 class ProcessCluster {
@@ -29,18 +29,19 @@
   void start(int node, const ControllerBuild& build);
   void kill(int node) { controllers_[static_cast<std::size_t>(node)].reset(); }
   void stop(int node, bool on) { controllers_[static_cast<std::size_t>(node)]->stop(on); }
-  // The exit code of a controller that has ended by itself.
+  // The exit code of a controller that has exited on its own; nullopt while it runs.
   std::optional<int> ended(int node);
-  // Runs for so long, or until the condition holds; whether it does.
+  // Runs the cluster until the condition holds, at most for `seconds_from_now`. Returns whether it
+  // holds.
   bool run_until(double seconds_from_now, const std::function<bool()>& condition);
   void run_for(double seconds) {
     run_until(seconds, [] { return false; });
   }
   double now() const;
-  // `eiderreel upgrade ...` with the addresses of all controllers; its exit code.
+  // Runs `eiderreel upgrade ...` with the addresses of all controllers and returns its exit code.
   int command(const ControllerBuild& build, std::vector<std::string> words);
   const std::string& directory() const { return directory_; }
-  std::string last_output() const;  // of a command
+  std::string last_output() const;  // of the last command
 
  private:
   struct ControllerAddress {
--- a/tests/processes/rolling_upgrade_processes_test.cc
+++ b/tests/processes/rolling_upgrade_processes_test.cc
@@ -1,9 +1,9 @@
-// A rolling upgrade of three real controllers on loopback, under load and with kills, driven by the
-// command line alone. In CI the older build is this one with a lower ceiling;
-// upgrade_from_production.sh takes the build that runs in production.
+// A rolling upgrade of three real controllers on loopback, under load and while controllers are
+// killed, driven only by the command line. In CI the older build is the current source with a lower
+// newest cluster version; upgrade_from_production.sh uses the build that runs in production.
 //
-//   EIDERREEL_SEED=N              the order of the upgrades, and the moments of the kills
-//   EIDERREEL_OLDER_BUILD=PROGRAM another older build, which knows of no upgrade file
+//   EIDERREEL_SEED=N              seeds the order of the upgrades and the times of the kills
+//   EIDERREEL_OLDER_BUILD=PROGRAM another older build, without support for the upgrade file
 #include <unistd.h>
 
 #include <cstdio>
@@ -19,9 +19,9 @@
 namespace {
 
 constexpr double kSubmitEveryS = 0.4;
-constexpr double kStepPatienceS = 40;   // s; a step is asked for until it is taken
-constexpr double kReadyPatienceS = 20;  // s; a controller that was started has its record by then
-constexpr double kDrainPatienceS = 90;  // s; all jobs have ended by then
+constexpr double kStepPatienceS = 40;   // a step is requested repeatedly until it is taken
+constexpr double kReadyPatienceS = 20;  // a started controller has written its node record by then
+constexpr double kDrainPatienceS = 90;  // all jobs have finished by then
 
 class RollingUpgradeProcesses : public testing::Test {
  protected:
@@ -48,7 +48,7 @@
     return options;
   }
 
-  // Jobs all the time, some of them cancelled; the simulated cluster's users ask about each.
+  // Submits jobs continuously and cancels some; the simulated users poll each job.
   void submit_while_running() {
     SimulatedCluster& cluster = cluster_.simulated_cluster();
     cluster.at(cluster.now() + kSubmitEveryS, [this, &cluster] {
@@ -90,7 +90,7 @@
     cluster_.run_for(number_in(0.05, 1.5));
     cluster_.start(node, build_of(node));
   }
-  // One of them is killed, or pauses for up to longer than its lease, and comes back.
+  // Kills and restarts a random controller, or suspends it, sometimes for longer than its lease.
   void disturb() {
     const int node = pick(3);
     if (pick(3) > 0) return restart(node);
@@ -98,7 +98,7 @@
     cluster_.run_for(number_in(0.5, 7));
     cluster_.stop(node, false);
   }
-  // Asks for a step until it is taken; disturbances come between and during the attempts.
+  // Requests a step until it is taken; a restart may happen during or between the attempts.
   void take_step(std::vector<std::string> words, std::uint64_t version) {
     cluster_.simulated_cluster().at(cluster_.simulated_cluster().now() + number_in(0, 0.4), [this] {
       if (const int node = pick(3); pick(2) == 0) kill_soon_ = node;
--- a/tests/processes/stand_in_servers.cc
+++ b/tests/processes/stand_in_servers.cc
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr char kLoopback[] = "127.0.0.1";
-constexpr int kFirstPort = 20000;  // below those that the system gives out by itself
-constexpr int kPortBlocks = 700;   // up to 31200; a test process begins in one of them
+constexpr int kFirstPort = 20000;  // below the system's ephemeral port range
+constexpr int kPortBlocks = 700;   // ports up to 31200; the process id selects a block
 constexpr int kPortsOfProcess = 16;
 
 int port_of(int socket) {
@@ -46,8 +46,8 @@
 
 }  // namespace
 
-// Of the ports that the system gives out by itself, one may come twice, or go to a server of
-// the stand-ins before the controller that was meant to have it has started.
+// Doesn't use ephemeral ports: the system may hand out the same one twice, or give it to a stand-in
+// server before the controller that it was reserved for has started.
 int free_port() {
   static int next = kFirstPort + getpid() % kPortBlocks * kPortsOfProcess;
   while (!can_bind(next)) ++next;
--- a/tests/processes/stand_in_servers.h
+++ b/tests/processes/stand_in_servers.h
@@ -1,4 +1,4 @@
-// HTTP servers on loopback for what controllers deal with: state store, cloud and workers.
+// HTTP servers on loopback that stand in for the state store, the cloud and the workers.
 #pragma once
 #include <functional>
 #include <memory>
@@ -15,7 +15,7 @@
 
 class StandInServer {
  public:
-  // `path` with its query part.
+  // The `path` of the request includes the query string.
   using Handler = std::function<void(const HttpRequest& request, std::function<void(HttpReply)>)>;
   StandInServer(event_base* base, Handler handler);
   ~StandInServer();
@@ -29,13 +29,13 @@
 
   evhttp* server_;
   Handler handler_;
-  // Requests that have no answer yet. One that gets none must hang, as where an answer is
-  // lost; a 503 would say that nothing was done.
+  // Requests without a reply yet. A request whose reply is lost must stay open: closing it with a
+  // 503 would state that it was not executed.
   std::set<std::shared_ptr<net::PendingReply>> open_;
   std::string address_;
 };
 
-// A port of loopback that was free a moment ago, another one each time.
+// Returns a loopback port that was free when probed, a different one on each call.
 int free_port();
 
 }  // namespace eiderreel::standin
--- a/tests/processes/upgrade_from_production.sh
+++ b/tests/processes/upgrade_from_production.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The rolling upgrade of real controllers from the build that runs in production, as
-# deploy/service.toml names it, to this one. Too long for CI. Needs a build with the tests, see README.
+# Tests the rolling upgrade of real controllers from the production build, whose revision stands in
+# deploy/service.toml, to the current one. Too slow for CI. Needs a build with tests, see README.
 #
 #   tests/processes/upgrade_from_production.sh [SEED ...]
 set -euo pipefail
--- a/tests/scheduler/heartbeats_test.cc
+++ b/tests/scheduler/heartbeats_test.cc
@@ -1,4 +1,4 @@
-// Heartbeats, leases and fencing tokens: what the scheduler believes about machines and tasks.
+// How heartbeats, leases and fencing tokens determine the scheduler's view of machines and tasks.
 #include "scheduler/partition_scheduler_fixture.h"
 
 using namespace eiderreel;
@@ -8,8 +8,8 @@
 
 class PartitionSchedulerHeartbeats : public PartitionSchedulerTest {};
 
-// Invariant 5: after a failover, older jobs wait for proof of every machine of the partition; jobs
-// first accepted since then need not.
+// Invariant 5: after a failover, a job that was accepted earlier is placed only once every machine
+// of the partition has sent a heartbeat; a job accepted after the failover need not wait.
 TEST_F(PartitionSchedulerHeartbeats, OnlyJobsFromBeforeAFailoverWaitForEveryMachine) {
   partition.add_machine("m-1", 5, false, 0);
   partition.add_machine("m-2", 5, false, 0);
@@ -26,9 +26,9 @@
   EXPECT_EQ(starts[0].job, "run-1");
 }
 
-// The answer to a heartbeat from before our fencing token renews a lease, so it carries the kills
-// that are owed: those of jobs that are over or cancelled. Nothing else of such a heartbeat is
-// believed.
+// The reply to a heartbeat with an older fencing token renews the machine's lease, so it carries
+// the pending kills: those of tasks of finished or cancelled jobs. Nothing else of such a heartbeat
+// is used.
 TEST_F(PartitionSchedulerHeartbeats, HeartbeatWithAnOlderFencingTokenIsAnsweredWithPendingKills) {
   partition.add_machine("m-1", 5, false, 0);
   partition.open_job(job("run-1"), 7, true, {});
@@ -52,7 +52,8 @@
   EXPECT_TRUE(partition.place_tasks("m-1", 100).empty());
 }
 
-// A heartbeat sent before our fencing token may be minutes late: it proves nothing.
+// A heartbeat with an older fencing token may be minutes late, so it doesn't prove which tasks run
+// on the machine.
 TEST_F(PartitionSchedulerHeartbeats, HeartbeatWithAnOlderFencingTokenProvesNothing) {
   partition.add_machine("m-1", 5, false, 0);
   partition.open_job(job("run-1"), 7, true, {});
@@ -84,12 +85,13 @@
   EXPECT_TRUE(partition.place_tasks("m-2", 10100).empty());
   EXPECT_EQ(partition.tick(10400), std::vector<std::string>{"m-1"});
   EXPECT_EQ(partition.place_tasks("m-2", 10400).size(), 1u);
-  // A late heartbeat of the old incarnation is not believed.
+  // A late heartbeat of the expired incarnation is stale.
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {task("run-1", 0, 1)}), 10500).verdict,
             HeartbeatVerdict::stale);
 }
 
-// Invariant 4: a launch is open until that incarnation's next heartbeat shows or lacks it.
+// Invariant 4: a launch is pending until the next heartbeat of the same incarnation lists the task
+// or omits it.
 TEST_F(PartitionSchedulerHeartbeats, LaunchMissingFromTheNextHeartbeatIsRetried) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 1), 11, false, {});
@@ -115,7 +117,7 @@
   EXPECT_EQ(partition.status("run-1")->running, 1u);
 }
 
-// Invariant 7: `clear` of a done task follows its durable record.
+// Invariant 7: `clear` of a done task is sent only after its completion is recorded durably.
 TEST_F(PartitionSchedulerHeartbeats, DoneTasksAreClearedOnlyOnceRecorded) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 2), 11, false, {});
@@ -148,7 +150,7 @@
   auto kills = partition.take_kills();
   ASSERT_EQ(kills.size(), 1u);
   EXPECT_EQ(kills[0].commands.size(), 8u);
-  // The limit is 12: four more fit while the eight are not seen to be gone.
+  // The quota is 12 CPUs: four more tasks fit until a heartbeat shows that the eight have stopped.
   partition.open_job(job("run-2", 8), 12, false, {});
   partition.on_heartbeat(heartbeat("m-2"), 300);
   EXPECT_EQ(partition.place_tasks("m-2", 300).size(), 4u);
@@ -156,13 +158,14 @@
   EXPECT_EQ(partition.place_tasks("m-1", 1700).size(), 4u);
 }
 
-// Until every machine has been heard of, what may run there counts against the limit.
+// Until a machine has sent a heartbeat, all of its CPUs count against the quota, since tasks may
+// run on them.
 TEST_F(PartitionSchedulerHeartbeats, MachinesWithoutHeartbeatCountAgainstTheQuota) {
   partition.add_machine("m-1", 5, false, 0);
   partition.add_machine("m-2", 5, false, 0);
   partition.open_job(job("run-2", 12), 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
-  EXPECT_EQ(partition.place_tasks("m-1", 100).size(), 4u);  // 12 less the 8 of m-2
+  EXPECT_EQ(partition.place_tasks("m-1", 100).size(), 4u);  // quota of 12 less the 8 CPUs of m-2
 }
 
 // Invariant 2: the fencing token is the newest revision of the partition's or the machine's own
@@ -179,14 +182,15 @@
   EXPECT_EQ(starts[0].attempt >> constants::kAttemptCounterBits, 15u);
 }
 
-// A worker above our fencing token has another leader.
+// A worker with a higher fencing token has a newer leader.
 TEST_F(PartitionSchedulerHeartbeats, HeartbeatWithAHigherFencingTokenIsStale) {
   partition.add_machine("m-1", 5, false, 0);
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {}, kToken + 1), 100).verdict,
             HeartbeatVerdict::stale);
 }
 
-// Invariant 3: only an idle machine is given away, and nothing starts on it from then on.
+// Invariant 3: only an idle machine is transferred, and no task starts on it once the transfer
+// begins.
 TEST_F(PartitionSchedulerHeartbeats, OnlyIdleMachinesAreTransferred) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 1), 11, false, {});
@@ -200,7 +204,8 @@
   EXPECT_EQ(partition.place_tasks("m-1", 250).size(), 1u);
 }
 
-// One lost answer proves nothing: the machine gets one task, and all it can take once that shows.
+// After one lost reply the machine is sent a single task as a probe; once a heartbeat lists that
+// task, its whole capacity is used again.
 TEST_F(PartitionSchedulerHeartbeats, MachineIsProbedWithOneTaskAfterALostReply) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 8), 11, false, {});
@@ -216,8 +221,9 @@
   EXPECT_EQ(partition.place_tasks("m-1", 1600).size(), 7u);
 }
 
-// A machine that is heard but does not hear: no 200 any more, so its lease ends by our clock too,
-// and its tasks start elsewhere with that proof. Later it is tried with one task.
+// A machine whose heartbeats arrive but which receives no replies. The controller stops answering
+// it with 200, so the lease expires by the controller's clock too; only after that are its tasks
+// started elsewhere. After a quarantine it is probed with one task.
 TEST_F(PartitionSchedulerHeartbeats, MachineThatReceivesNothingIsNotAnsweredUntilItsLeaseExpires) {
   partition.add_machine("m-1", 12, true, 0);
   partition.add_machine("m-2", 12, true, 0);
@@ -233,10 +239,10 @@
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1"), 9000).verdict, HeartbeatVerdict::stale);
   partition.on_heartbeat(heartbeat("m-2"), 9000);
   partition.heartbeat_answered("m-2", 9000);
-  // Its last launch is lost: run-1 waits again, and m-2 may have it.
+  // The last launch on m-1 was lost: run-1 is queued again, and m-2 may start it.
   EXPECT_EQ(partition.place_tasks("m-2", 9000).size(), 1u);
   EXPECT_EQ(partition.tick(now + 10300), std::vector<std::string>{"m-1"});
-  // A new incarnation: shunned for a while, then one task.
+  // The new incarnation is quarantined, then probed with one task.
   partition.open_job(job("run-2", 4), 12, false, {});
   EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", {}, 0, 2), 14000).verdict,
             HeartbeatVerdict::ok);
@@ -247,8 +253,8 @@
   EXPECT_EQ(partition.place_tasks("m-1", later).size(), 1u);
 }
 
-// After a failover, a machine that receives nothing never shows our fencing token. It is sent the
-// token twice; then its lease runs.
+// After a failover, a machine that receives no replies never adopts the new fencing token. It is
+// answered twice with the token; after that its lease is no longer renewed and expires.
 TEST_F(PartitionSchedulerHeartbeats, MachineThatNeverAdoptsTheFencingTokenLosesItsLease) {
   partition.add_machine("m-1", 5, false, 0);
   partition.add_machine("m-2", 5, false, 0);
@@ -268,7 +274,7 @@
   EXPECT_EQ(partition.place_tasks("m-2", 16500).size(), 1u);
 }
 
-// A late copy of an older heartbeat is no proof, renews nothing and frees no room.
+// A late duplicate of an older heartbeat confirms nothing, renews no lease and frees no capacity.
 TEST_F(PartitionSchedulerHeartbeats, LateDuplicatesProveNothing) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 8), 11, false, {});
@@ -282,7 +288,7 @@
   for (Ms now : {2000, 9000})
     EXPECT_EQ(partition.on_heartbeat(empty, now).verdict, HeartbeatVerdict::stale);
   EXPECT_EQ(partition.status("run-1")->running, 8u);
-  EXPECT_EQ(partition.tick(10900).size(), 1u);  // its lease counts from the last true heartbeat
+  EXPECT_EQ(partition.tick(10900).size(), 1u);  // its lease runs from the last new heartbeat
   EXPECT_EQ(partition.on_heartbeat(empty, 30000).verdict, HeartbeatVerdict::stale);
 }
 
--- a/tests/scheduler/partition_scheduler_fixture.h
+++ b/tests/scheduler/partition_scheduler_fixture.h
@@ -1,4 +1,4 @@
-// The scheduler of one partition alone, which is given heartbeats and the time.
+// Fixture for the scheduler of one partition in isolation; tests pass in heartbeats and the time.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -51,7 +51,7 @@
     sent.tasks = std::move(tasks);
     return sent;
   }
-  // What a machine lists in its heartbeat once it has started these tasks.
+  // The task list of a heartbeat from a machine that has executed these launch commands.
   static std::vector<TaskStatus> running_of(const std::vector<Command>& starts) {
     std::vector<TaskStatus> out;
     for (const auto& command : starts)
--- a/tests/scheduler/placement_test.cc
+++ b/tests/scheduler/placement_test.cc
@@ -1,4 +1,4 @@
-// Which task goes where, in which order, and who is preempted.
+// Placement of tasks: machine, order and preemption.
 #include "scheduler/partition_scheduler_fixture.h"
 
 using namespace eiderreel;
@@ -20,7 +20,8 @@
   EXPECT_EQ(red, 4);
 }
 
-// The latest start counts, and what can no longer be in time lets the rest go first.
+// Jobs are ordered by the latest start that meets their deadline; a job that can no longer meet its
+// deadline comes last.
 TEST_F(PartitionSchedulerPlacement, TightestFeasibleDeadlineGoesFirst) {
   partition.add_machine("m-1", 12, true, 0);
   JobSpec loose = job("run-1", 2), tight = job("run-2", 2), lost = job("run-3", 2);
@@ -64,7 +65,8 @@
   EXPECT_EQ(starts[0].job, "run-1");
 }
 
-// A cordoned machine takes nothing new for a while; one with a service is left alone.
+// A cordoned machine gets no new tasks until the cordon expires; machines that run a service are
+// not cordoned.
 TEST_F(PartitionSchedulerPlacement, CordonedMachinesTakeNothingNew) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 1), 11, false, {});
@@ -74,7 +76,7 @@
   EXPECT_EQ(partition.place_tasks("m-1", 100 + constants::kCordonTtlMs).size(), 1u);
 }
 
-// A production service stops lower work here and starts in its room, in one answer.
+// A production service preempts tasks of lower priority and starts on the freed CPUs, in one reply.
 TEST_F(PartitionSchedulerPlacement, ServicePreemptsLowerPrioritiesInOneReply) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 8), 11, false, {});
@@ -88,7 +90,7 @@
   service.cpus = 2;
   partition.open_job(service, 12, false, {});
   partition.on_heartbeat(heartbeat("m-1", running), 200);
-  EXPECT_TRUE(partition.place_tasks("m-1", 200).empty());  // a moment for other machines
+  EXPECT_TRUE(partition.place_tasks("m-1", 200).empty());  // first gives other machines a chance
   partition.on_heartbeat(heartbeat("m-1", running), 1200);
   auto commands = partition.place_tasks("m-1", 1200);
   ASSERT_EQ(commands.size(), 3u);
@@ -96,10 +98,10 @@
   EXPECT_EQ(commands[1].type, CommandType::kill);
   EXPECT_EQ(commands[2].type, CommandType::launch);
   EXPECT_EQ(commands[2].job, "run-2");
-  EXPECT_EQ(commands[0].index, 7u);  // the youngest go
+  EXPECT_EQ(commands[0].index, 7u);  // the youngest tasks are preempted
 }
 
-// Within its fair share a team reclaims what another has borrowed, and no more.
+// A team reclaims borrowed CPUs from another team up to its own fair share, and no more.
 TEST_F(PartitionSchedulerPlacement, FairShareIsReclaimedFromBorrowers) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 8, "red"), 11, false, {});
@@ -114,11 +116,11 @@
   auto commands = partition.place_tasks("m-1", 4200);
   int kills = 0, launches = 0;
   for (const auto& command : commands) (command.type == CommandType::kill ? kills : launches)++;
-  EXPECT_EQ(kills, 4);  // red keeps its four
+  EXPECT_EQ(kills, 4);  // red keeps its fair share of four
   EXPECT_EQ(launches, 4);
 }
 
-// A job that nothing has been started of for long goes before all that is more urgent.
+// A job of which no task has started for kStarvationAgeMs goes before all more urgent jobs.
 TEST_F(PartitionSchedulerPlacement, StarvedJobGoesFirst) {
   partition.add_machine("m-1", 12, true, 0);
   JobSpec large = job("run-1", 40);
@@ -135,7 +137,7 @@
   EXPECT_EQ(starts[0].job, "run-1");
 }
 
-// Work that borrows is not stopped sooner than the objective of the fair share asks for.
+// Borrowers are preempted no sooner than the objective for starts within the fair share requires.
 TEST_F(PartitionSchedulerPlacement, FairShareIsReclaimedInTimeForItsObjective) {
   SchedulingPolicy limits = kLimits;
   limits.fair_share_start_ms = 15000;
@@ -152,11 +154,11 @@
     EXPECT_TRUE(patient.place_tasks("m-1", now).empty()) << now;
   }
   patient.on_heartbeat(heartbeat("m-1", running, 12), 13500);
-  EXPECT_EQ(patient.place_tasks("m-1", 13500).size(), 8u);  // four stopped, four started
+  EXPECT_EQ(patient.place_tasks("m-1", 13500).size(), 8u);  // four kills, four launches
 }
 
-// What fits into room that is free elsewhere, on a machine that has not sent a heartbeat since, is
-// no reason to stop a borrower.
+// No borrower is preempted for tasks that fit on another machine with free capacity, even if that
+// machine has not sent a heartbeat since they were queued.
 TEST_F(PartitionSchedulerPlacement, NoBorrowerIsPreemptedWhileThereIsFreeCapacityElsewhere) {
   partition.add_machine("m-1", 12, true, 0);
   partition.add_machine("m-2", 12, true, 0);
@@ -173,8 +175,8 @@
   EXPECT_EQ(partition.place_tasks("m-2", 4450).size(), 4u);
 }
 
-// Room that is held for a fetch does no work: a machine serves first what it has the image of, but
-// only within twice the fetch, so that nobody is passed over for long.
+// CPUs that are reserved during an image fetch do no work, so a machine first starts jobs whose
+// image it has cached. A job is passed over for this for at most twice the fetch time.
 TEST_F(PartitionSchedulerPlacement, JobsWithACachedImageGoFirstForAWhile) {
   MachineType box{"box", 8, 0, 64, 100, 0.1, 1, 1, 10, {"a", "b"}};
   partition.set_types({box});
@@ -190,7 +192,7 @@
   partition.tick(100);
   auto starts = partition.place_tasks("m-1", 100);
   ASSERT_EQ(starts.size(), 8u);
-  // Two jobs wait, the older one has another image.
+  // Two jobs are queued; the image of the older one is not cached.
   partition.on_heartbeat(heartbeat("m-1", running_of(starts)), 5000);
   partition.open_job(with_image("run-2", "blue"), 13, false, {});
   partition.on_heartbeat(heartbeat("m-1", running_of(starts)), 10000);
@@ -213,7 +215,7 @@
   EXPECT_EQ(freed(40000), "run-2");
 }
 
-// A task waits a moment for a free machine that has its image, and no longer.
+// A task waits only briefly for a machine that has its image and free capacity.
 TEST_F(PartitionSchedulerPlacement, TaskWaitsBrieflyForAMachineWithItsImage) {
   MachineType box{"box", 8, 0, 64, 100, 0.1, 1, 1, 10, {"a", "b"}};
   partition.set_types({box});
@@ -235,7 +237,8 @@
   EXPECT_EQ(partition.place_tasks("m-2", 300 + 1250).size(), 2u);
 }
 
-// What the leader hears of stated waits: the shortest among the arrays that the partition has.
+// The load report contains the shortest wait objective among the partition's arrays; services don't
+// count.
 TEST_F(PartitionSchedulerPlacement, LoadIncludesTheShortestWaitObjective) {
   EXPECT_EQ(partition.load(0).start_objective_s, 0);
   JobSpec spec = job("run-1");
--- a/tests/scheduler/scale_test.cc
+++ b/tests/scheduler/scale_test.cc
@@ -1,4 +1,4 @@
-// What must stay bounded or not grow, however large jobs and partitions are.
+// Costs and memory that must stay bounded for the largest jobs and partitions.
 #include "scheduler/partition_scheduler_fixture.h"
 
 using namespace eiderreel;
@@ -8,7 +8,7 @@
 
 class PartitionSchedulerScale : public PartitionSchedulerTest {};
 
-// The largest job there may be is queued, recorded in chunks and ended.
+// The largest permitted job is queued, recorded in chunks and completed.
 TEST_F(PartitionSchedulerScale, LargestJobIsQueuedRecordedAndCompleted) {
   partition.add_machine("m-1", 12, true, 0);
   std::vector<std::uint32_t> done;
@@ -29,7 +29,7 @@
   EXPECT_EQ(recorded, constants::kMaxJobTasks);
 }
 
-// The work for one heartbeat must not grow with the machines of the partition.
+// The work per heartbeat must not grow with the number of machines in the partition.
 TEST_F(PartitionSchedulerScale, HeartbeatCostIsIndependentOfPartitionSize) {
   auto steps = [this](int machines) {
     MachineType box{"box", 8, 0, 64, 100, 0.1, 1, 1, 10, {"a", "b"}};
@@ -44,7 +44,7 @@
       spec.image_gb = 1;
       partition.open_job(spec, 20 + static_cast<std::uint64_t>(n), false, {});
     }
-    // Services that have waited long already, and find no room for long.
+    // Services that fit no machine, so that they wait throughout.
     for (int n = 20; n < 25; ++n) {
       JobSpec spec = job("run-" + std::to_string(n), 1);
       spec.kind = JobKind::service;
@@ -54,7 +54,7 @@
     for (Ms now : {2000, 4000, 6000}) {
       partition.tick(now);
       for (const auto& id : ids) {
-        partition.on_heartbeat(heartbeat(id), now);  // whatever was started there is gone
+        partition.on_heartbeat(heartbeat(id), now);  // lists none of the launched tasks
         partition.place_tasks(id, now);
         partition.heartbeat_answered(id, now);
       }
@@ -66,7 +66,7 @@
   EXPECT_LT(steps(300), small * 1.1);
 }
 
-// An image for every job: what is known of images stays bounded, and jobs go on starting.
+// Every job has an image of its own: the table of images stays bounded, and jobs still start.
 TEST_F(PartitionSchedulerScale, KnownImagesStayBounded) {
   partition.add_machine("m-1", 12, true, 0);
   for (std::uint64_t n = 0; n < 3 * constants::kMaxRetainedImages; ++n) {
--- a/tests/settings_file_test.cc
+++ b/tests/settings_file_test.cc
@@ -1,4 +1,4 @@
-// The settings file: what is read, and how problems are listed.
+// The settings file: parsing, and the list of problems.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -85,7 +85,8 @@
   EXPECT_EQ(loaded.settings.fair_share_start_s, 15);
 }
 
-// What fits into the limits as they are and as they will be is all that is ever written.
+// Writes must fit both the current and the announced state store limits, so the lower of the two
+// applies.
 TEST(SettingsFile, LowerOfCurrentAndNextLimitsApplies) {
   const std::string next = "[params.state.next]\nrps = 90.0\nvalue_kb = 2.0\ntxn_ops = 5\n";
   auto loaded = load_settings(file_with(with("[params.cloud]", next + "[params.cloud]")));
--- a/tests/state_store_modules_test.cc
+++ b/tests/state_store_modules_test.cc
@@ -1,5 +1,5 @@
-// The parts of the state store client that stand alone: errors, paths, the queue of requests, the
-// chunks of prerequisites and the history of finished jobs.
+// The independent modules of the state store client: errors, paths, the request queue, prerequisite
+// chunks and the history of finished jobs.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -23,7 +23,7 @@
 namespace eiderreel {
 namespace {
 
-// Time stands still; timers and requests are kept until the test takes them.
+// A runtime with a manual clock; it keeps timers and requests for the test to run and answer.
 class FakeRuntime : public Runtime {
  public:
   struct Sent {
@@ -74,7 +74,7 @@
   submit("/progress", RequestPriority::progress);
   submit("/fleet", RequestPriority::fleet);
   submit("/urgent", RequestPriority::urgent);
-  ASSERT_EQ(runtime_.sent.size(), 3u) << "a full budget: all go at once";
+  ASSERT_EQ(runtime_.sent.size(), 3u) << "with a full budget all requests are sent at once";
   while (queue_.size() == 0) submit("/more", RequestPriority::progress);
   const std::size_t before = runtime_.sent.size();
   submit("/fleet", RequestPriority::fleet);
@@ -96,7 +96,7 @@
   EXPECT_EQ(queue_.size(), 0u);
   EXPECT_EQ(queue_.counters().refused_locally, 1u);
   ASSERT_EQ(runtime_.timers.size(), 1u);
-  EXPECT_TRUE(statuses_.empty()) << "its caller hears after its own call has returned";
+  EXPECT_TRUE(statuses_.empty()) << "`done` must not run before submit() has returned";
   runtime_.timers[0].call();
   EXPECT_EQ(statuses_, std::vector<int>{http_status::kTooManyRequests});
 }
@@ -182,7 +182,7 @@
   EXPECT_EQ(finished.since(101)->front().id, "b");
   for (std::size_t i = 0; i < constants::kMaxRecentFinishedJobs; ++i)
     finished.add({"c", JobPhase::done, 200 + i});
-  EXPECT_FALSE(finished.since(102)) << "the oldest ones were dropped";
+  EXPECT_FALSE(finished.since(102)) << "the oldest entries must be dropped";
   EXPECT_EQ(finished.since(103)->size(), constants::kMaxRecentFinishedJobs);
 }
 
--- a/tests/stored_messages_test.cc
+++ b/tests/stored_messages_test.cc
@@ -1,6 +1,7 @@
-// Messages between controllers that the sources before a renaming have sent are read by the sources
-// after it, and written the same. The fixture was written once, by tests/measure/write_fixtures.cc,
-// and is never written by a test.
+// Guards against renamings in the source that change the messages between controllers: every
+// message encoded by the source from before a renaming must be decoded, and encoded again to the
+// same bytes. The fixture was generated once, by tests/measure/write_fixtures.cc; no test writes
+// it.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -42,10 +43,8 @@
   for (const auto& [partition, need] : m.partition_loads)
     partitions.emplace_back(partition, fields(need));
   return std::tuple(partitions, m.store_usage.requests_per_s, m.store_usage.changes_per_s,
-                    m.receives_heartbeats,
-                    m.features, m.conversion.has_value(), c.values_left,
-                    c.values_converted,
-                    c.unreadable, c.values_per_s);
+                    m.receives_heartbeats, m.features, m.conversion.has_value(), c.values_left,
+                    c.values_converted, c.unreadable, c.values_per_s);
 }
 
 std::map<std::string, std::string> read_frames() {
--- a/tests/stored_state_resumed_test.cc
+++ b/tests/stored_state_resumed_test.cc
@@ -1,5 +1,5 @@
-// A cluster that is started on a state store written by the sources before a renaming goes on with
-// it; see stored_state_test.cc for the values themselves.
+// A cluster that starts from state stored by the source from before a renaming continues the stored
+// jobs; stored_state_test.cc tests the stored values themselves.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 const char kStoredValuesFile[] = EIDERREEL_SOURCE_DIR "/tests/fixtures/state_store.json";
 
-// The last of the jobs that others wait for to be done, and how long their tasks run.
+// Whether a job is among the last prerequisites to finish; its tasks run for kPrerequisiteS.
 bool is_last_prerequisite(const std::string& id) {
   return id == "run-101" || id == long_ids().back();
 }
@@ -22,7 +22,7 @@
 constexpr double kClaimedS = 3.9;  // all partitions have a leader; no machine has moved yet
 constexpr double kAllOverS = 120;
 
-// A cluster that starts on the stored state; what is bound to a lease is gone by then.
+// A cluster that starts from the stored state, without the records whose leases have expired.
 class ResumedDay : public UpgradeCluster {
  public:
   ResumedDay() : UpgradeCluster(resumed_day_options()) {
@@ -41,7 +41,7 @@
   void poll(const std::string& id) {
     poll_once(0, id, [](int status, const std::string&) { EXPECT_EQ(status, 200); });
   }
-  // The partition of each machine, as the leaders have them.
+  // The partition of each machine, from the leaders' memory.
   std::map<std::string, int> machines_owned() {
     std::map<std::string, int> machines;
     for (int i = 0; i < stored_day_options().nodes; ++i)
@@ -49,7 +49,7 @@
         for (const std::string& name : core->machine_names()) machines[name] = partition;
     return machines;
   }
-  // The tasks of each job that began to run, as often as they did.
+  // The started tasks of each job, sorted; a task appears once per start.
   std::map<std::string, std::vector<std::uint32_t>> started() const {
     static const std::string runs = " runs ";
     std::map<std::string, std::vector<std::uint32_t>> tasks;
@@ -70,8 +70,8 @@
     options.upgrades = enabled_upgrades();
     return options;
   }
-  // Users repeat their submissions, so that the workers know the jobs. A task that is recorded as
-  // done would never end.
+  // Users repeat their submissions, which gives the simulated workers the run times. A task that is
+  // recorded as done would never end if it were started again.
   void submit_again(const StoredJob& job) {
     const double run_s = is_last_prerequisite(job.spec.id) ? kPrerequisiteS : 1;
     set_run_s(job.spec.id, job.run_times(kNeverEndsS, run_s));
@@ -113,7 +113,8 @@
     });
   }
   cluster_.run_until(kClaimedS + 1);
-  const std::vector<int> all_known(cluster_.open_jobs().size(), 200);  // 201: accepted anew
+  const std::vector<int> all_known(cluster_.open_jobs().size(),
+                                   200);  // 201 would mean accepted as a new job
   EXPECT_EQ(submissions, all_known);
   EXPECT_EQ(polls, all_known);
 }
@@ -148,7 +149,7 @@
   end_of_day();
   EXPECT_EQ(cluster_.phase(done_job().id), "done");
   EXPECT_EQ(cluster_.phase(cancelled_job().id), "cancelled");
-  EXPECT_EQ(cluster_.phase(every_field_set().id), "cancelled");  // it was known, and fitted nowhere
+  EXPECT_EQ(cluster_.phase(every_field_set().id), "cancelled");  // recovered, but fits no machine
   for (const char* prefix : {"e/job/", "e/awaits/", "d/"})
     EXPECT_EQ(cluster_.keys_under(prefix), 0u);
 }
@@ -167,7 +168,8 @@
   EXPECT_EQ(cluster_.lines(std::string(kReleasedMachine) + " is returned"), 1u);
   EXPECT_EQ(cluster_.stored(codec::machine_key(kReleasedMachine)), nullptr);
   end_of_day();
-  EXPECT_EQ(cluster_.stored(codec::machine_key(kSpotMachine)), nullptr);  // it was gone
+  EXPECT_EQ(cluster_.stored(codec::machine_key(kSpotMachine)),
+            nullptr);  // terminated before the restart
 }
 
 TEST_F(StoredStateResumed, ControllersRunAtTheStoredClusterVersion) {
--- a/tests/stored_state_test.cc
+++ b/tests/stored_state_test.cc
@@ -1,6 +1,7 @@
-// A state store written by the sources before a renaming is read by the sources after it, and they
-// write the same. The fixture was written once, by tests/measure/write_fixtures.cc, and is never
-// written by a test. That a cluster goes on with it is shown in stored_state_resumed_test.cc.
+// Guards against renamings in the source that change stored data: every value that the source from
+// before a renaming has stored must be decoded, and encoded again to the same bytes. The fixture
+// was generated once, by tests/measure/write_fixtures.cc; no test writes it. That a cluster
+// continues from the stored state is tested in stored_state_resumed_test.cc.
 #include "fixtures/stored_state.h"
 
 #include <gtest/gtest.h>
@@ -40,10 +41,10 @@
 
 // ------------------------------------------------------------------------------ stored values
 
-// The fixture, and which of its values were looked at.
+// The values of the fixture; records which of them a test has read.
 class StoredValueReader {
  public:
-  // Null: the fixture has no such key, or the value cannot be read.
+  // Returns null and fails the test if the fixture has no such key or the value cannot be decoded.
   const codec::StateRow* read(const std::string& key) {
     const auto value = values_.find(key);
     if (value == values_.end()) {
@@ -79,7 +80,7 @@
   stored.expect_written_again(*row, codec::encode(*row->job, row->nonce));
 }
 
-// A job whose prerequisites stand in values of their own.
+// A job whose prerequisites are stored in separate values (prerequisite chunks).
 void expect_spread_job(StoredValueReader& stored, JobSpec expected) {
   const auto prerequisites = std::exchange(expected.prerequisites, {});
   const auto* row = stored.read(codec::job_key(expected.id));
@@ -103,7 +104,7 @@
   }
 }
 
-// The fields of a value of progress that tell its form, as every build writes and reads them.
+// Encodings of a progress value, which its `form`, `bits` and `roaring` fields distinguish.
 enum class ProgressText { bits, compact_bits, roaring };
 
 void expect_progress(StoredValueReader& stored, int partition, const std::string& job,
@@ -131,7 +132,7 @@
   return {};
 }
 
-// Of run-204, when one value was still enough for all that had ended.
+// The done tasks of run-204 at the time when all of them still fitted into one value.
 std::vector<std::uint32_t> outgrown_tasks() {
   auto tasks = done_tasks("run-204");
   std::erase_if(tasks, [](std::uint32_t task) { return task > 5604; });
@@ -182,7 +183,7 @@
   expect_machine(stored, kSpotMachine, spot_machine());
 }
 
-// Partitions and controllers, which are bound to leases.
+// Partition and node records, which are bound to leases.
 void expect_controllers(StoredValueReader& stored) {
   for (int n = 0; n < 3; ++n) {
     const std::string name = "n" + std::to_string(n);
--- a/tests/upgrade/conversion_test.cc
+++ b/tests/upgrade/conversion_test.cc
@@ -1,5 +1,5 @@
-// Progress in its two forms: what is written, how it is converted, and what becomes of values that
-// cannot be read.
+// The two storage forms of job progress: encoding, conversion in both directions, and the treatment
+// of stored values that cannot be decoded.
 #include <random>
 
 #include "codec/progress_form.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-// ------------------------------------------------------------------------------- the two forms
+// ------------------------------------------------------------------------------------ encoding
 
 std::vector<std::uint32_t> some_tasks(std::uint32_t first, std::uint32_t count, double share,
                                       std::uint64_t seed) {
@@ -43,7 +43,8 @@
   }
 }
 
-// The form of the fewest bytes, and never more than bits beside the mark of the form.
+// The compact form uses the shortest encoding; it is never longer than the bits form plus the
+// `form` field.
 TEST(CompactProgress, FallsBackToBitsWhereShorter) {
   for (const std::uint32_t count : {1u, 36u, 515u, 32768u}) {
     for (const double share : {0.01, 0.5, 1.0}) {
@@ -72,10 +73,11 @@
            R"({"n":"n","form":2,"bits":"Fg"})",
        })
     EXPECT_FALSE(read("d/0/run-1/0", value).progress) << value;
-  EXPECT_FALSE(codec::unpack_roaring(codec::pack_roaring({99999}, 0), 5));  // beyond any job
+  EXPECT_FALSE(
+      codec::unpack_roaring(codec::pack_roaring({99999}, 0), 5));  // index above the largest job
 }
 
-// A bitmap that was cut off is refused, or is one that a job may have.
+// A truncated bitmap is either rejected or decodes to no more tasks than a job may have.
 TEST(CompactProgress, TruncatedBitmapsAreHarmless) {
   const auto tasks = some_tasks(0, 30000, 0.2, 3);
   const std::string text = codec::pack_roaring(tasks, 0);
@@ -88,9 +90,10 @@
   EXPECT_GT(refused, 10u);
 }
 
-// ----------------------------------------------------------------------------------- the plan
+// ------------------------------------------------------------------------ planning of batches
 
-// A job whose progress is stored as the planner says, commit by commit.
+// A job whose stored progress is updated with the batches that the planner returns, one commit at a
+// time.
 class StoredJob {
  public:
   StoredJob(std::uint32_t tasks, std::size_t value_bytes)
@@ -134,7 +137,7 @@
       const auto batch = upgrade::batch_to_convert(view(), to, most, "n0.b1.7");
       if (batch.empty()) return changes;
       changes += carry_out(batch, most);
-      EXPECT_EQ(stored_tasks(), done_tasks()) << "nothing is lost on the way";
+      EXPECT_EQ(stored_tasks(), done_tasks()) << "a batch lost recorded tasks";
     }
   }
   std::vector<std::uint32_t> stored_tasks() const {
@@ -204,8 +207,8 @@
   expect_converts_there_and_back(100000, 1024, 0.5, 16);
 }
 
-// A long array ends about in the order of its tasks: one value of a few runs instead of a value for
-// each range.
+// The tasks of a long array finish roughly in index order, so the compact form needs one value with
+// a few runs where the bits form needs one value per range.
 TEST(ProgressPlan, CompactFormNeedsFewerChangesForALongArray) {
   std::size_t changes[2] = {0, 0};
   for (const auto form : {ProgressForm::bits, ProgressForm::compact}) {
@@ -220,7 +223,7 @@
   EXPECT_LT(changes[1], changes[0]);
 }
 
-// The one value for all tasks does not fit any more, and later it does again.
+// The single value for all tasks first grows beyond the value limit and later fits again.
 TEST(ProgressPlan, SwitchesBetweenASingleValueAndRanges) {
   StoredJob job(30000, 1024);
   job.record({0, 1, 2, 3}, ProgressForm::compact, 16);
@@ -257,7 +260,7 @@
   EXPECT_LE(changes, 206u);
 }
 
-// ------------------------------------------------------------------------ in a running cluster
+// ----------------------------------------------------------------- in the simulated cluster
 
 class Conversion : public testing::TestWithParam<std::uint64_t> {
  protected:
@@ -266,7 +269,7 @@
     options.state_write_rps = 30;
     return options;
   }
-  // Many arrays that last, with some of their tasks done early.
+  // Long-running arrays, some of whose tasks finish early.
   static void submit_lasting(SimulatedCluster& cluster, int jobs) {
     for (int n = 0; n < jobs; ++n) {
       const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(n % 3)];
@@ -293,7 +296,7 @@
   OperatorReply status;
   cluster.at(36, [&] { left_at_first = cluster.progress_in_bits(); });
   cluster.at(46, [&] {
-    EXPECT_GT(cluster.progress_in_bits(), 0u) << "it is spread over time";
+    EXPECT_GT(cluster.progress_in_bits(), 0u) << "conversion must be rate limited";
     EXPECT_LT(cluster.progress_in_bits(), left_at_first);
     cluster.raw(1, "GET", "/upgrade/status", "", [&](int code, std::string body) {
       status = {code, std::move(body)};
@@ -316,7 +319,7 @@
   expect_rules_kept(cluster);
 }
 
-// Its leaders fail, its jobs end and are cancelled, all while it goes on.
+// Leaders fail, jobs finish and jobs are cancelled while the conversion is in progress.
 TEST_P(Conversion, ContinuesThroughFailoversCompletionsAndCancellations) {
   UpgradeCluster cluster(seeded_options());
   submit_lasting(cluster, 30);
@@ -335,8 +338,8 @@
   expect_arrays_ended_and_rules_kept(cluster, {5, 70, 2});
 }
 
-// A value in neither form: the tasks that it may have told of are not taken for done, it stays as
-// it is, and the final step is refused by its key.
+// A stored value in neither form: none of its tasks counts as done, the value is left unchanged,
+// and the final step is refused with an obstacle that names its key.
 TEST_P(Conversion, UnreadableValueIsNamedAndKept) {
   UpgradeCluster cluster(seeded_options());
   cluster.at(3, [&] {
--- a/tests/upgrade/maintenance_window_test.cc
+++ b/tests/upgrade/maintenance_window_test.cc
@@ -1,5 +1,5 @@
-// Maintenance windows by the clocks of a time zone: over midnight, and at both changes of daylight
-// saving time.
+// Maintenance windows in the local time of a time zone: windows that span midnight, and both
+// changes of daylight saving time.
 #include "versioning/maintenance_window.h"
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
 }
 
 TEST(MaintenanceWindow, SpansMidnight) {
-  const auto w = window("America/Bogota", "sat", "22:00", "04:00");  // five hours behind, always
+  const auto w = window("America/Bogota", "sat", "22:00", "04:00");  // UTC-5, no daylight saving
   EXPECT_FALSE(w.contains(utc(2026, 12, 6, 2, 59)));                 // Saturday, 21:59
   EXPECT_TRUE(w.contains(utc(2026, 12, 6, 3, 0)));
   EXPECT_TRUE(w.contains(utc(2026, 12, 6, 8, 59)));  // Sunday, 03:59
@@ -54,13 +54,13 @@
   EXPECT_FALSE(w.contains(utc(2026, 12, 6, 17, 0)));
 }
 
-// Berlin, 2026-03-29: at 02:00 the clocks go on to 03:00, which is 01:00 UTC.
+// Berlin, 2026-03-29: at 02:00 (01:00 UTC) the clocks go forward to 03:00.
 TEST(MaintenanceWindow, SkipsTheMissingHourWhenDaylightSavingBegins) {
   const auto over = window("Europe/Berlin", "sun", "01:30", "03:30");
   EXPECT_FALSE(over.contains(utc(2026, 3, 29, 0, 29)));
   EXPECT_TRUE(over.contains(utc(2026, 3, 29, 0, 30)));
   EXPECT_TRUE(over.contains(utc(2026, 3, 29, 1, 29)));
-  EXPECT_FALSE(over.contains(utc(2026, 3, 29, 1, 30)));  // an hour shorter than it reads
+  EXPECT_FALSE(over.contains(utc(2026, 3, 29, 1, 30)));  // one hour shorter than in local time
 
   const auto from_inside = window("Europe/Berlin", "sun", "02:30", "03:30");
   EXPECT_FALSE(from_inside.contains(utc(2026, 3, 29, 0, 59)));
@@ -72,12 +72,12 @@
     EXPECT_FALSE(inside.contains(utc(2026, 3, 29, 0, 0) + minute * 60000)) << minute;
 }
 
-// Berlin, 2026-10-25: at 03:00 the clocks go back to 02:00, which is 01:00 UTC.
+// Berlin, 2026-10-25: at 03:00 (01:00 UTC) the clocks go back to 02:00.
 TEST(MaintenanceWindow, TakesTheFirstRepeatedHourWhenDaylightSavingEnds) {
   const auto over = window("Europe/Berlin", "sun", "01:30", "03:30");
   EXPECT_FALSE(over.contains(utc(2026, 10, 24, 23, 29)));
   EXPECT_TRUE(over.contains(utc(2026, 10, 24, 23, 30)));
-  EXPECT_TRUE(over.contains(utc(2026, 10, 25, 2, 29)));  // an hour longer than it reads
+  EXPECT_TRUE(over.contains(utc(2026, 10, 25, 2, 29)));  // one hour longer than in local time
   EXPECT_FALSE(over.contains(utc(2026, 10, 25, 2, 30)));
 
   const auto inside = window("Europe/Berlin", "sun", "02:10", "02:50");
--- a/tests/upgrade/plan_test.cc
+++ b/tests/upgrade/plan_test.cc
@@ -1,4 +1,5 @@
-// What a step needs: every rule of the plan by itself, and the wire form of the requests.
+// Preconditions of a version step, each rule of the plan separately, and the JSON encoding of step
+// requests and records.
 #include <gtest/gtest.h>
 
 #include "upgrade/step_plan.h"
@@ -60,7 +61,7 @@
                         {acting("n0", ClusterVersion::convert),
                          acting("n1", ClusterVersion::write_compact), away})
                   .possible());
-  // One that has not come back yet from the version above would be two steps apart.
+  // A controller that still acts under the version above would be two steps away from the target.
   EXPECT_TRUE(names(plan_step({Action::abort, {}}, at(ClusterVersion::write_compact),
                               {acting("n0", ClusterVersion::write_compact),
                                acting("n1", ClusterVersion::convert)}),
@@ -91,7 +92,8 @@
   EXPECT_EQ(plan.obstacles.size(), 2u);
 }
 
-// The gates of neighbouring versions never ask for opposite conversions at the same time.
+// Adjacent versions may be active at the same time during a step, so they must never request
+// conversions in opposite directions.
 TEST(VersionGates, AdjacentVersionsAreCompatible) {
   EXPECT_EQ(progress_policy(ClusterVersion::base).write, ProgressForm::bits);
   EXPECT_EQ(progress_policy(ClusterVersion::write_compact).write, ProgressForm::compact);
--- a/tests/upgrade/random_upgrades_test.cc
+++ b/tests/upgrade/random_upgrades_test.cc
@@ -1,6 +1,6 @@
-// Random upgrades: operators ask any controller for steps forward and back while controllers crash,
-// pause, are cut off or come back as other builds, and the state store fails. A few days
-// run with the other tests; more are searched by hand:
+// Randomized upgrades: operators request steps forward and back from any controller while
+// controllers crash, pause, lose the network or restart with another build, and the state store
+// fails. A few runs are part of the test suite; more are started by hand:
 //
 //   EIDERREEL_UPGRADES=1-500 target/tests/eiderreel_tests --gtest_filter='RandomUpgrades.*'
 #include <cstdio>
@@ -37,7 +37,8 @@
   }
   int pick(int count) { return std::uniform_int_distribution<int>(0, count - 1)(random_); }
 
-  // Mostly forward; sometimes without whoever has no record at that moment.
+  // Half of the requests are `advance`; half exclude the controllers that have no node record at
+  // that moment.
   void add_request(double time_s) {
     const Action action = std::array{Action::advance, Action::advance, Action::abort,
                                      Action::finalize}[static_cast<std::size_t>(pick(4))];
@@ -124,7 +125,7 @@
     expect_arrays_ended_and_rules_kept(cluster, {3, 125, 2.5}, name);
     if (testing::Test::HasFailure()) std::printf("failures up to %s\n", name.c_str());
   }
-  EXPECT_GT(steps, static_cast<std::size_t>(2 * (last - first + 1))) << "the days meet steps";
+  EXPECT_GT(steps, static_cast<std::size_t>(2 * (last - first + 1))) << "too few steps were taken";
   EXPECT_GT(compact, 0u);
 }
 
--- a/tests/upgrade/rolling_upgrade.h
+++ b/tests/upgrade/rolling_upgrade.h
@@ -1,5 +1,5 @@
-// The fixture of the days on which the cluster version changes while jobs run. On every day the
-// version checker looks at each transaction that lands; see standin/version_checker.h.
+// Fixture of the tests that change the cluster version while jobs run. In each of them the version
+// checker inspects every transaction that the state store commits; see standin/version_checker.h.
 #pragma once
 #include "upgrade/upgrade_cluster.h"
 
--- a/tests/upgrade/rolling_upgrade_faults_test.cc
+++ b/tests/upgrade/rolling_upgrade_faults_test.cc
@@ -1,4 +1,4 @@
-// Faults of controllers and of the state store at every point of a step.
+// Faults of controllers and of the state store at every point of a version step.
 #include "upgrade/rolling_upgrade.h"
 
 using namespace eiderreel;
@@ -8,8 +8,8 @@
 
 class RollingUpgradeFaults : public RollingUpgrade {};
 
-// The controller that drives a step is killed, or pauses beyond its lease, at many moments of
-// it: before the commit is sent, between the commit and its answer, and after.
+// The controller that drives a step is killed, or pauses for longer than its lease, at many points
+// of the step: before the commit is sent, between the commit and its reply, and after the reply.
 TEST_P(RollingUpgradeFaults, CoordinatorFailsAtEveryPointOfAStep) {
   for (const bool frozen : {false, true}) {
     for (int ms = 0; ms <= 24; ms += 3) {
@@ -22,7 +22,7 @@
         else
           cluster.crash(0, 3);
       });
-      // Another controller knows the outcome: the same request again finds its own step.
+      // The same request sent to another controller finds the step that it has already taken.
       std::uint64_t landed = 0;
       cluster.at(17, [&] { landed = cluster.cluster_version(); });
       cluster.at(40, [&] { cluster.ask_now(1, Action::advance, {}, "the-step"); });
@@ -83,15 +83,15 @@
   double told_at = 0;
   cluster.at(30, [&] { told_at = cluster.replies().size() == 2 ? 1 : 0; });
   cluster.run_until(40);
-  EXPECT_EQ(told_at, 1) << "an answer within a bounded time";
+  EXPECT_EQ(told_at, 1) << "the operator must get a reply within a bounded time";
   if (cluster.cluster_version() == 2) cluster.ask_now(1, Action::advance);
   cluster.run_until(120);
   EXPECT_EQ(cluster.cluster_version(), 3u);
   expect_arrays_ended_and_rules_kept(cluster, {5, 50});
 }
 
-// The step gets no answer and lands seconds later, or never: the operator is told that this is not
-// known, and the durable version says it in the end.
+// The commit of the step gets no reply and is applied seconds later, or never. The reply to the
+// operator reports an unknown outcome; the stored version shows later whether the step was taken.
 TEST_P(RollingUpgradeFaults, StepWithUnknownOutcomeIsNotRepeatedBlindly) {
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 50});
@@ -109,12 +109,13 @@
   cluster.run_until(50);
   EXPECT_EQ(cluster.cluster_version(), 2u);
   EXPECT_TRUE(status.has("\"step_in_doubt\":\"late\"") || status.has("\"last_request\":\"late\""));
-  EXPECT_EQ(cluster.versions().versions(), (std::vector<std::uint64_t>{1, 2})) << "it landed once";
+  EXPECT_EQ(cluster.versions().versions(), (std::vector<std::uint64_t>{1, 2}))
+      << "the step must be committed once";
   cluster.run_until(120);
   expect_arrays_ended_and_rules_kept(cluster, {5, 50});
 }
 
-// Commits are carried out late while the version goes up and down.
+// The state store applies commits late while the cluster version is stepped up and down.
 TEST_P(RollingUpgradeFaults, DelayedCommitsLandUnderLaterVersions) {
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 80, 1.5});
--- a/tests/upgrade/rolling_upgrade_restarts_test.cc
+++ b/tests/upgrade/rolling_upgrade_restarts_test.cc
@@ -21,36 +21,37 @@
     EXPECT_TRUE(cluster.replies().back().has("\"controller\":\"n2\""));
   });
   cluster.ask(22, 0, Action::advance, {"n2"});
-  cluster.ask(28, 0, Action::advance, {"n1"});  // it runs, so it cannot be left out
+  cluster.ask(28, 0, Action::advance, {"n1"});  // n1 is running, so it cannot be excluded
   cluster.run_until(30);
   EXPECT_EQ(cluster.cluster_version(), 2u);
   EXPECT_TRUE(cluster.replies().back().has("is running"));
   cluster.run_until(120);
-  EXPECT_EQ(cluster.acting(2), 2u) << "it is back, under the version of the others";
+  EXPECT_EQ(cluster.acting(2), 2u) << "after its restart, n2 acts under the version of the others";
   expect_arrays_ended_and_rules_kept(cluster, {5, 50});
 }
 
-// Its record is on its way, naming version 1, while the cluster goes on by two steps without it.
+// The commit of a controller's node record, which names version 1, is delayed while the cluster
+// takes two steps without that controller.
 TEST_P(RollingUpgradeRestarts, LateNodeRecordNamesNoSupersededVersion) {
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 50});
   cluster.at(10, [&] { cluster.crash(1, 12); });
   cluster.at(22, [&] {
     cluster.late_writes({1, 2.2, 2.4});
-  });  // those of the others too, for a moment
+  });  // delays the writes of the other controllers too
   cluster.at(22.3, [&] { cluster.late_writes({}); });
   cluster.ask(22.5, 0, Action::advance, {"n1"});
   cluster.ask(23.2, 0, Action::advance, {"n1"});
   cluster.run_until(23.6);
   EXPECT_EQ(cluster.cluster_version(), 3u) << cluster.replies().back().body;
-  EXPECT_EQ(cluster.acting(1), 0u) << "its record has not landed yet";
+  EXPECT_EQ(cluster.acting(1), 0u) << "the record must not be committed yet";
   cluster.run_until(110);
   EXPECT_EQ(cluster.acting(1), 3u);
   expect_arrays_ended_and_rules_kept(cluster, {5, 50});
 }
 
-// It pauses for longer than its lease, the cluster goes on without it by two steps, and then
-// it wakes up with what it was about to write.
+// A controller pauses for longer than its lease with writes pending. The cluster takes two steps
+// without it; then it resumes and sends those writes.
 TEST_P(RollingUpgradeRestarts, PausedControllerWritesNothingUnderASupersededVersion) {
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {2, 60, 1});
@@ -77,7 +78,7 @@
     cluster.at(30, [&] { cluster.install(1, ClusterVersion::base, 2); });
     cluster.run_until(45);
     EXPECT_EQ(cluster.acting(1), 0u);
-    EXPECT_NE(cluster.leader_of(1), 1) << "its partition goes to another";
+    EXPECT_NE(cluster.leader_of(1), 1) << "another controller must take over the partition";
     EXPECT_NE(cluster.leader_of(1), -1);
     OperatorReply ready, status;
     cluster.raw(1, "GET", "/ready", "", [&](int code, std::string body) {
@@ -95,7 +96,7 @@
     if (version == ClusterVersion::convert) cluster.ask_now(0, Action::abort);
     cluster.run_until(150);
     EXPECT_EQ(cluster.cluster_version(), 1u);
-    EXPECT_EQ(cluster.acting(1), 1u) << "it acts again";
+    EXPECT_EQ(cluster.acting(1), 1u) << "n1 must act again";
     EXPECT_EQ(cluster.leader_of(1), 1);
     expect_arrays_ended_and_rules_kept(cluster, {5, 60});
   }
@@ -115,7 +116,8 @@
   expect_arrays_ended_and_rules_kept(cluster, {5, 60});
 }
 
-// The commit of the step compares the records, so one that was replaced meanwhile stops it.
+// The commit of a step compares the node records, so it fails when one was replaced in the
+// meantime.
 TEST_P(RollingUpgradeRestarts, RestartWithAnOlderBuildDuringAStepBlocksItOrStandsBy) {
   for (const double offset : {-0.3, -0.05, -0.01, 0.0, 0.004, 0.01, 0.05}) {
     UpgradeCluster cluster(seeded_options());
@@ -126,13 +128,13 @@
     cluster.at(20 + offset, [&] { cluster.install(2, ClusterVersion::base, 0.05); });
     cluster.at(24, [&] { cluster.state_slow(0); });
     cluster.run_until(90);
-    EXPECT_EQ(cluster.acting(2), 0u) << "it cannot act under version 2 either";
+    EXPECT_EQ(cluster.acting(2), 0u) << "the older build cannot act under version 2 either";
     expect_arrays_ended_and_rules_kept(cluster, {5, 30}, std::to_string(offset));
   }
 }
 
-// A build from before cluster versions knows nothing of them: a step is refused while one is known,
-// and where one comes back later it does no harm to jobs.
+// Builds that predate cluster versions: a step is refused while such a controller is known to run,
+// and one that is restarted after the step does no harm to jobs.
 TEST_P(RollingUpgradeRestarts, UnversionedBuildsBlockSteps) {
   Options options = seeded_options();
   options.old_nodes = {0, 1, 2};
--- a/tests/upgrade/rolling_upgrade_test.cc
+++ b/tests/upgrade/rolling_upgrade_test.cc
@@ -58,7 +58,7 @@
       cluster.ask(time_s, 2, Action::abort);
     cluster.run_until(58);
     EXPECT_EQ(cluster.cluster_version(), 1u);
-    EXPECT_EQ(cluster.progress_with("\"form\":2"), 0u) << "left in the compact form";
+    EXPECT_EQ(cluster.progress_with("\"form\":2"), 0u) << "no value may stay in the compact form";
     for (int node = 0; node < 3; ++node)
       cluster.at(60 + 5 * node, [&cluster, node] { cluster.downgrade(node, 1); });
     cluster.run_until(150);
@@ -70,7 +70,7 @@
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 40});
   cluster.ask(10, 0, Action::advance);
-  cluster.at(15, [&] { cluster.freeze(1, 3); });  // within its lease, so it acknowledges late
+  cluster.at(15, [&] { cluster.freeze(1, 3); });  // shorter than its lease, so it acknowledges late
   cluster.ask(15.2, 0, Action::advance);
   cluster.ask(16, 2, Action::abort);
   cluster.run_until(110);
--- a/tests/upgrade/settings_test.cc
+++ b/tests/upgrade/settings_test.cc
@@ -1,4 +1,4 @@
-// The operators' upgrade file: every problem is named by file and field.
+// The upgrade settings file: every problem is reported with its file and field.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
--- a/tests/upgrade/upgrade_cluster.h
+++ b/tests/upgrade/upgrade_cluster.h
@@ -1,5 +1,5 @@
-// A simulated cluster whose controllers take part in cluster versions, and operators who ask them
-// for steps.
+// A simulated cluster with cluster versions enabled, and operators who request version steps from
+// its controllers.
 #pragma once
 #include <rapidjson/document.h>
 
@@ -35,7 +35,7 @@
   return options;
 }
 
-// What an operator was told.
+// HTTP reply to an operator's request.
 struct OperatorReply {
   int status = 0;
   std::string body;
@@ -47,7 +47,7 @@
  public:
   explicit UpgradeCluster(const Options& options) : SimulatedCluster(options) {}
 
-  // Asks a controller for a step, from the version that the state store has at that moment.
+  // Requests a step from a controller, starting at the version stored at that moment.
   void ask_now(int node, Action action, std::set<std::string> without = {},
                std::string request = "") {
     if (request.empty()) request = "request-" + std::to_string(++requests_);
@@ -66,14 +66,14 @@
   void ask(double time_s, int node, Action action, std::set<std::string> without = {}) {
     at(time_s, [this, node, action, without] { ask_now(node, action, without); });
   }
-  // Steps forward until the cluster is at this version, one every few seconds.
+  // Requests the steps up to `version`, the first at `time_s` and the others kStepIntervalS apart.
   void advance_to(double time_s, ClusterVersion version, int node = 0) {
     for (std::uint32_t v = 1; v < upgrade::number(version); ++v, time_s += kSettle)
       ask(time_s, node,
           v + 1 == upgrade::number(ClusterVersion::compact_only) ? Action::finalize
                                                                  : Action::advance);
   }
-  static constexpr double kSettle = 6;  // s; by then a step is acknowledged by all that run
+  static constexpr double kStepIntervalS = 6;  // by then every running controller acknowledges
 
   std::uint64_t cluster_version() const {
     const std::string* value = stored("e/upgrade/version");
@@ -82,7 +82,7 @@
     document.Parse(value->c_str());
     return document["version"].IsUint64() ? document["version"].GetUint64() : 0;
   }
-  // Under which version a controller acts, by its record; 0: it has none.
+  // The cluster version that a controller acts under, from its node record; 0 without a record.
   std::uint64_t acting(int node) const {
     const std::string* value = stored("e/node/n" + std::to_string(node));
     if (!value) return 0;
@@ -90,7 +90,7 @@
     document.Parse(value->c_str());
     return document.HasMember("acting") ? document["acting"].GetUint64() : 0;
   }
-  // Answers to the operators, in the order in which they came.
+  // Replies to the operators, in order of arrival.
   const std::vector<OperatorReply>& replies() const { return replies_; }
   OperatorReply reply_to(const std::string& request) const {
     const auto found = by_request_.find(request);
@@ -114,7 +114,8 @@
   std::map<std::string, OperatorReply> by_request_;
 };
 
-// Arrays of every team, one after the other; every sixth is cancelled while it runs.
+// Array jobs submitted at a fixed interval, by each team in turn; every sixth is cancelled while it
+// runs.
 struct ArrayLoad {
   double from_s = 0, to_s = 0, every_s = 3;
 
@@ -127,7 +128,7 @@
   static bool is_cancelled(int n) { return n % 6 == 5; }
 };
 
-// The tasks of each array end far apart, so that its progress is written many times.
+// The tasks of an array finish seconds apart, so that its progress is written many times.
 inline void submit_arrays(SimulatedCluster& cluster, const ArrayLoad& load) {
   int n = 0;
   for (double time_s = load.from_s; time_s < load.to_s; time_s += load.every_s, ++n) {
@@ -152,7 +153,7 @@
   }
 }
 
-// What every day of an upgrade under load closes with.
+// The checks at the end of every test of an upgrade under load.
 inline void expect_arrays_ended_and_rules_kept(SimulatedCluster& cluster, const ArrayLoad& load,
                                                const std::string& day = "") {
   expect_arrays_ended(cluster, load);
