--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -133,13 +133,13 @@
   EXPECT_EQ(codec::progress_range(40000, 100000, 8192).count, constants::kProgressChunkTasks);
 }
 
-struct OldMessage {
+struct EarlierBuildMessage {
   const char* name;
   std::size_t kind;  // index in peer_rpc::Body
   std::string bytes;
 };
 
-std::vector<OldMessage> old_messages() {
+std::vector<EarlierBuildMessage> earlier_build_messages() {
   return {{"ask", 0,
            "000000000900000000000000010002000000000000000000050000001a00000004000000020001006e30000"
            "00000"
@@ -189,7 +189,7 @@
 }
 
 TEST(EarlierBuildMessages, RoundTripExceptTheStatus) {
-  for (const OldMessage& old : old_messages()) {
+  for (const EarlierBuildMessage& old : earlier_build_messages()) {
     const std::string bytes = from_hex(old.bytes);
     const auto message = peer_rpc::decode(bytes);
     ASSERT_TRUE(message) << old.name;
@@ -201,7 +201,7 @@
 }
 
 TEST(EarlierBuildMessages, StatusWithoutFeaturesIdentifiesAnEarlierBuild) {
-  const auto message = peer_rpc::decode(from_hex(old_messages()[2].bytes));
+  const auto message = peer_rpc::decode(from_hex(earlier_build_messages()[2].bytes));
   ASSERT_TRUE(message);
   const auto& status = std::get<peer_rpc::PeerStatus>(message->body);
   EXPECT_EQ(status.features, 0u);
--- a/tests/decode_error_test.cc
+++ b/tests/decode_error_test.cc
@@ -50,7 +50,7 @@
   EXPECT_EQ(codec::parse_store_revision(R"({"ledger":431})").value_or(0), 431U);
 }
 
-TEST(DecodeErrors, TellFramesAndBitmapsApart) {
+TEST(DecodeErrors, DistinguishFramesAndBitmaps) {
   expect_error(peer_rpc::decode(""), DecodeFault::not_whole_words, "");
   expect_error(peer_rpc::decode("1234567"), DecodeFault::not_whole_words, "");
   expect_error(peer_rpc::decode(std::string(8, '\xff')), DecodeFault::malformed_message, "");
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -47,7 +47,7 @@
   EXPECT_EQ(graph.readiness(id(3))->at, 7000);
 }
 
-TEST_F(DependencyGraphTest, EndedPrerequisitesAreNotWaitedFor) {
+TEST_F(DependencyGraphTest, FinishedPrerequisitesDoNotBlock) {
   graph.add_job(job(2), 10, {}, {done(5, 500), done(90, 9000)});
   EXPECT_FALSE(graph.is_blocked(id(2)));
   EXPECT_EQ(graph.readiness(id(2))->revision, 90u);
--- a/tests/http_api_test.cc
+++ b/tests/http_api_test.cc
@@ -12,7 +12,8 @@
   SimulatedCluster cluster{Options{}};
   int status = -1;
   std::string body;
-  void ask(const std::string& method, const std::string& path, const std::string& text = "") {
+  void send_request(const std::string& method, const std::string& path,
+                    const std::string& text = "") {
     status = -1;
     cluster.raw(1, method, path, text, [this](int code, std::string text) {
       status = code;
@@ -25,33 +26,33 @@
 };
 
 TEST_F(HttpApi, RespondsWithTheDocumentedStatusCodes) {
-  ask("GET", "/ready");
+  send_request("GET", "/ready");
   EXPECT_EQ(status, 200);
-  ask("POST", "/v1/jobs", "nonsense");
+  send_request("POST", "/v1/jobs", "nonsense");
   EXPECT_EQ(status, 400);
   EXPECT_NE(body.find("\"error\""), std::string::npos);
-  ask("POST", "/v1/jobs", submission(cluster.job("run-1", "nobody", 1)));
+  send_request("POST", "/v1/jobs", submission(cluster.job("run-1", "nobody", 1)));
   EXPECT_EQ(status, 422);
-  ask("POST", "/v1/jobs",
-      submission(cluster.job("run-1", "red", 1, 9)));  // no machine has nine CPUs
+  send_request("POST", "/v1/jobs",
+               submission(cluster.job("run-1", "red", 1, 9)));  // no machine has nine CPUs
   EXPECT_EQ(status, 422);
   JobSpec service = cluster.job("run-1", "red", 7, 8);
   service.kind = JobKind::service;  // 56 CPUs at once, above the quota of 48
-  ask("POST", "/v1/jobs", submission(service));
+  send_request("POST", "/v1/jobs", submission(service));
   EXPECT_EQ(status, 422);
-  ask("GET", "/v1/jobs/run-1");
+  send_request("GET", "/v1/jobs/run-1");
   EXPECT_EQ(status, 404);
-  ask("GET", "/v1/jobs/nonsense");
+  send_request("GET", "/v1/jobs/nonsense");
   EXPECT_EQ(status, 404);
-  ask("POST", "/v1/jobs/run-1/cancel");
+  send_request("POST", "/v1/jobs/run-1/cancel");
   EXPECT_EQ(status, 404);
-  ask("GET", "/v2");
+  send_request("GET", "/v2");
   EXPECT_EQ(status, 404);
-  ask("POST", "/v1/jobs", std::string(constants::kMaxBodyBytes + 1, 'x'));
+  send_request("POST", "/v1/jobs", std::string(constants::kMaxBodyBytes + 1, 'x'));
   EXPECT_EQ(status, 413);
-  ask("DELETE", "/v1/jobs");
+  send_request("DELETE", "/v1/jobs");
   EXPECT_EQ(status, 405);
-  ask("POST", "/v1/report", "{}");
+  send_request("POST", "/v1/report", "{}");
   EXPECT_EQ(status, 400);
 }
 
@@ -59,11 +60,11 @@
   const JobSpec spec = cluster.job("run-1", "red", 2);
   cluster.submit(spec);
   cluster.run_until(6);
-  ask("POST", "/v1/jobs", submission(spec));
+  send_request("POST", "/v1/jobs", submission(spec));
   EXPECT_EQ(status, 200);
   cluster.run_until(40);
   ASSERT_EQ(cluster.phase("run-1"), "done");
-  ask("POST", "/v1/jobs", submission(spec));
+  send_request("POST", "/v1/jobs", submission(spec));
   EXPECT_EQ(status, 200);
   EXPECT_NE(body.find("done"), std::string::npos);
   EXPECT_TRUE(cluster.checker().violations().empty());
@@ -72,14 +73,14 @@
 TEST_F(HttpApi, MetricsAndStatusShowJobsPartitionsAndRequests) {
   cluster.submit(cluster.job("run-1", "red", 2));
   cluster.run_until(8);
-  ask("GET", "/metrics");
+  send_request("GET", "/metrics");
   EXPECT_EQ(status, 200);
   for (const char* line : {"eiderreel_ready 1\n", "eiderreel_open_jobs 1\n",
                            "eiderreel_partition_fencing_token{partition=\"1\"} ",
                            "eiderreel_state_store_requests_total{status=\"200\"} ",
                            "eiderreel_user_latency_seconds_count{kind=\"poll\"} "})
     EXPECT_NE(body.find(line), std::string::npos) << line;
-  ask("GET", "/status");
+  send_request("GET", "/status");
   EXPECT_EQ(status, 200);
   EXPECT_NE(body.find("\"open_jobs\":1"), std::string::npos) << body;
   EXPECT_NE(body.find("\"owner\":\"n2\""), std::string::npos) << body;
@@ -88,7 +89,7 @@
 // Invariant 9: a submission that cannot be accepted is rejected immediately.
 TEST_F(HttpApi, SubmissionsAreRejectedImmediatelyDuringAnOutage) {
   cluster.state_outage(true);
-  ask("POST", "/v1/jobs", submission(cluster.job("run-1", "red", 1)));
+  send_request("POST", "/v1/jobs", submission(cluster.job("run-1", "red", 1)));
   EXPECT_EQ(status, 503);
 }
 
--- a/tests/measure/upgrade_measures.cc
+++ b/tests/measure/upgrade_measures.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-double processor_s() {
+double cpu_time_s() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   return static_cast<double>(usage.ru_utime.tv_sec) +
@@ -26,39 +26,39 @@
 
 // ------------------------------------------------------------------------- users during a step
 
-struct Load {
+struct SubmissionStats {
   std::size_t accepted = 0, refused = 0, starts = 0;
   double slowest_s = 0, sum_s = 0;
 };
 
 // Submits ten jobs per second, to the controllers in turn and without retries.
-void submit_steadily(UpgradeCluster& cluster, double from, double to, Load& load) {
+void submit_steadily(UpgradeCluster& cluster, double from, double to, SubmissionStats& load) {
   int n = 0;
   for (double time_s = from; time_s < to; time_s += 0.1, ++n)
     cluster.at(time_s, [&cluster, &load, n] {
       const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(n % 3)];
       JobSpec job = cluster.job("run-" + std::to_string(n), team, 1, 0.2, 2);
-      const double asked = cluster.now();
+      const double sent_at_s = cluster.now();
       cluster.raw(n % 3, "POST", "/v1/jobs", submission_text(job),
-                  [&load, &cluster, asked](int status, std::string) {
-                    const double took = cluster.now() - asked;
+                  [&load, &cluster, sent_at_s](int status, std::string) {
+                    const double latency_s = cluster.now() - sent_at_s;
                     (status == 201 ? load.accepted : load.refused) += 1;
-                    load.slowest_s = std::max(load.slowest_s, took);
-                    load.sum_s += took;
+                    load.slowest_s = std::max(load.slowest_s, latency_s);
+                    load.sum_s += latency_s;
                   });
     });
 }
 
-Load day_with_steps(std::uint64_t seed, bool steps) {
+SubmissionStats run_with_steps(std::uint64_t seed, bool steps) {
   Options options = upgrade_options(seed);
   options.state_rps = 400;
   UpgradeCluster cluster(options);
   submit_arrays(cluster, {3, 60});
-  Load load;
+  SubmissionStats load;
   submit_steadily(cluster, 20, 50, load);
   if (steps)
     for (int n = 0; n < 10; ++n)
-      cluster.ask(21 + 3.0 * n, n % 3, n % 4 < 2 ? Action::advance : Action::abort);
+      cluster.request_step_at(21 + 3.0 * n, n % 3, n % 4 < 2 ? Action::advance : Action::abort);
   cluster.run_until(20);
   const std::size_t before = cluster.checker().starts();
   cluster.run_until(55);
@@ -73,9 +73,9 @@
   std::printf(
       "users during steps: 300 submissions in 30 s, 5 seeds; steps: one requested every 3 s\n");
   for (const bool steps : {false, true}) {
-    Load sum;
+    SubmissionStats sum;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      const Load load = day_with_steps(seed, steps);
+      const SubmissionStats load = run_with_steps(seed, steps);
       sum.accepted += load.accepted;
       sum.refused += load.refused;
       sum.starts += load.starts;
@@ -100,7 +100,7 @@
   options.state_write_rps = write_rps;
   options.upgrades->conversion_share = share;
   UpgradeCluster cluster(options);
-  const double submitted = jobs / 5.0;
+  const double all_submitted_s = jobs / 5.0;
   for (int n = 0; n < jobs; ++n) {
     const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(n % 3)];
     cluster.at(3 + 0.2 * n, [&cluster, n, team] {
@@ -109,13 +109,15 @@
       cluster.set_run_s(id, {2, 3, 9000, 9000});
     });
   }
-  const double begun = submitted + 60;
-  cluster.advance_to(begun - 12, ClusterVersion::convert);
-  cluster.run_until(begun - 6);
-  double time_s = begun - 6;
-  while (cluster.cluster_version() < 3 && time_s < begun + 60) cluster.run_until(time_s += 0.1);
+  const double expected_start_s = all_submitted_s + 60;
+  cluster.advance_to(expected_start_s - 12, ClusterVersion::convert);
+  cluster.run_until(expected_start_s - 6);
+  double time_s = expected_start_s - 6;
+  while (cluster.cluster_version() < 3 && time_s < expected_start_s + 60)
+    cluster.run_until(time_s += 0.1);
   const double from = time_s;
-  while (cluster.progress_in_bits() > 0 && time_s < from + 3000) cluster.run_until(time_s += 0.25);
+  while (cluster.progress_values_in_bits() > 0 && time_s < from + 3000)
+    cluster.run_until(time_s += 0.25);
   return time_s - from;
 }
 
@@ -131,25 +133,26 @@
 // -------------------------------------------------------------- changes and bytes of an array
 
 struct ArrayCost {
-  std::size_t writes = 0, most_bytes = 0, most_keys = 0;
+  std::size_t writes = 0, max_bytes = 0, max_keys = 0;
 };
 
-enum class Ends { at_random, in_order };
+enum class CompletionOrder { at_random, in_order };
 
 struct ArrayCase {
   std::uint32_t tasks = 0;
   double value_kb = 8;
   double spread_s = 20;  // between the first and the last completion
-  Ends ends = Ends::at_random;
+  CompletionOrder completion_order = CompletionOrder::at_random;
 };
 
 std::vector<double> run_times(const ArrayCase& array) {
   std::mt19937_64 random(array.tasks);
-  std::uniform_real_distribution<double> anywhere(0, array.spread_s);
+  std::uniform_real_distribution<double> random_offset_s(0, array.spread_s);
   std::vector<double> run_s;
   for (std::uint32_t i = 0; i < array.tasks; ++i)
-    run_s.push_back(
-        2 + (array.ends == Ends::in_order ? array.spread_s * i / array.tasks : anywhere(random)));
+    run_s.push_back(2 + (array.completion_order == CompletionOrder::in_order
+                             ? array.spread_s * i / array.tasks
+                             : random_offset_s(random)));
   return run_s;
 }
 
@@ -169,8 +172,8 @@
     cluster.run_until(time_s);
     std::size_t bytes = 0;
     for (const auto& key : cluster.keys("d/")) bytes += cluster.stored(key)->size();
-    cost.most_bytes = std::max(cost.most_bytes, bytes);
-    cost.most_keys = std::max(cost.most_keys, cluster.keys_under("d/"));
+    cost.max_bytes = std::max(cost.max_bytes, bytes);
+    cost.max_keys = std::max(cost.max_keys, cluster.keys_under("d/"));
   }
   cost.writes = cluster.versions().progress_written(compact);
   if (cluster.phase("run-1") != "done") std::printf("(not done) ");
@@ -182,17 +185,17 @@
       "\nprogress of one array, bits / compact: values written, most values kept, most bytes "
       "kept\n");
   for (const ArrayCase& array :
-       {ArrayCase{36}, ArrayCase{500}, ArrayCase{500, 8, 20, Ends::in_order}, ArrayCase{20000},
-        ArrayCase{20000, 8, 20, Ends::in_order}, ArrayCase{20000, 1},
-        ArrayCase{20000, 1, 20, Ends::in_order}, ArrayCase{40000, 8, 20},
-        ArrayCase{40000, 8, 20, Ends::in_order}}) {
+       {ArrayCase{36}, ArrayCase{500}, ArrayCase{500, 8, 20, CompletionOrder::in_order},
+        ArrayCase{20000}, ArrayCase{20000, 8, 20, CompletionOrder::in_order}, ArrayCase{20000, 1},
+        ArrayCase{20000, 1, 20, CompletionOrder::in_order}, ArrayCase{40000, 8, 20},
+        ArrayCase{40000, 8, 20, CompletionOrder::in_order}}) {
     const ArrayCost bits = cost_of_array(array, false);
     const ArrayCost compact = cost_of_array(array, true);
     std::printf(
         "%6u tasks, values to %.0f KiB, ends %-9s: %4zu / %-4zu  %2zu / %-2zu  %6zu / %zu\n",
-        array.tasks, array.value_kb, array.ends == Ends::in_order ? "in order" : "at random",
-        bits.writes, compact.writes, bits.most_keys, compact.most_keys, bits.most_bytes,
-        compact.most_bytes);
+        array.tasks, array.value_kb,
+        array.completion_order == CompletionOrder::in_order ? "in order" : "at random", bits.writes,
+        compact.writes, bits.max_keys, compact.max_keys, bits.max_bytes, compact.max_bytes);
     std::fflush(stdout);
   }
 }
@@ -215,7 +218,7 @@
     options.state_write_rps = 400;
     options.teams = {
         {"red", 8000, 20000, 0, 0}, {"blue", 8000, 20000, 0, 0}, {"gold", 8000, 20000, 0, 0}};
-    const double began = processor_s();
+    const double cpu_time_at_start_s = cpu_time_s();
     UpgradeCluster cluster(options);
     submit_arrays(cluster, {60, 180, 0.4});
     if (enabled) cluster.advance_to(90, ClusterVersion::convert);
@@ -225,8 +228,9 @@
     std::printf(
         "%-9s processor %.1f s, largest resident %ld MB so far, starts %zu, version %llu, rules "
         "broken %zu\n",
-        enabled ? "enabled" : "disabled", processor_s() - began, usage.ru_maxrss / 1024,
-        cluster.checker().starts(), static_cast<unsigned long long>(cluster.cluster_version()),
+        enabled ? "enabled" : "disabled", cpu_time_s() - cpu_time_at_start_s,
+        usage.ru_maxrss / 1024, cluster.checker().starts(),
+        static_cast<unsigned long long>(cluster.cluster_version()),
         cluster.checker().violations().size());
     std::fflush(stdout);
   }
@@ -240,8 +244,8 @@
                                                                {"arrays", measure_arrays},
                                                                {"large", measure_large}};
   for (const auto& [name, measure] : tables) {
-    bool asked = argc == 1;
-    for (int i = 1; i < argc; ++i) asked |= name == argv[i];
-    if (asked) measure();
+    bool is_selected = argc == 1;
+    for (int i = 1; i < argc; ++i) is_selected |= name == argv[i];
+    if (is_selected) measure();
   }
 }
--- a/tests/measure/write_fixtures.cc
+++ b/tests/measure/write_fixtures.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr double kDayS = 125;  // long after the last completion in a run
+constexpr double kRunS = 125;  // long after the last completion in a run
 
 void submit_all(UpgradeCluster& cluster, const std::vector<StoredJob>& jobs) {
   for (const StoredJob& job : jobs)
@@ -36,12 +36,12 @@
 }
 
 // First run: controllers with cluster versions disabled.
-StoredValues first_day() {
-  UpgradeCluster cluster(stored_day_options());
-  submit_all(cluster, jobs_of_first_day());
+StoredValues first_run() {
+  UpgradeCluster cluster(stored_run_options());
+  submit_all(cluster, jobs_of_first_run());
   submit_all(cluster, {{done_job(), 12, {0, 1}}, {cancelled_job(), 12}});
   cluster.at(20, [&cluster] { cluster.cancel(cancelled_job().id); });
-  cluster.run_until(kDayS);
+  cluster.run_until(kRunS);
   return values_of(cluster);
 }
 
@@ -53,28 +53,28 @@
 }
 
 // Second run: steps of every kind, and a released machine.
-StoredValues second_day() {
-  Options options = stored_day_options();
+StoredValues second_run() {
+  Options options = stored_run_options();
   options.upgrades = enabled_upgrades();
   UpgradeCluster cluster(options);
-  cluster.ask(12, 0, Action::advance);
-  cluster.ask(18, 1, Action::abort);
-  cluster.ask(24, 2, Action::advance);
-  cluster.ask(30, 0, Action::finalize, {"n1", "n2"});
-  submit_all(cluster, jobs_of_second_day());
+  cluster.request_step_at(12, 0, Action::advance);
+  cluster.request_step_at(18, 1, Action::abort);
+  cluster.request_step_at(24, 2, Action::advance);
+  cluster.request_step_at(30, 0, Action::finalize, {"n1", "n2"});
+  submit_all(cluster, jobs_of_second_run());
   cluster.run_until(8);
   release_a_machine(cluster);
-  cluster.run_until(kDayS);
+  cluster.run_until(kRunS);
   return values_of(cluster);
 }
 
 // Adds values of kinds that a short run doesn't leave behind.
 void add_rare_values(StoredValues& values) {
   const std::string nonce = "n0.b1.999";
-  values[codec::job_key(every_field_set().id)] = codec::encode(every_field_set(), nonce);
+  values[codec::job_key(job_with_every_field().id)] = codec::encode(job_with_every_field(), nonce);
   values[codec::machine_key(kSpotMachine)] = codec::encode(spot_machine(), nonce);
-  values[codec::progress_key(1, done_job().id, kLeftOverRange)] =
-      codec::encode_progress(left_over_tasks(), kLeftOverRange, upgrade::ProgressForm::bits, nonce);
+  values[codec::progress_key(1, done_job().id, kLeftoverRange)] =
+      codec::encode_progress(leftover_tasks(), kLeftoverRange, upgrade::ProgressForm::bits, nonce);
 }
 
 // The jobs of both runs and the other values of the second run; one controller keeps its node
@@ -119,7 +119,7 @@
     return 2;
   }
   const std::string directory = argv[1];
-  StoredValues values = merged(first_day(), second_day());
+  StoredValues values = merged(first_run(), second_run());
   add_rare_values(values);
   write_values(directory + "/state_store.json", values);
   write_messages(directory + "/peer_messages.txt");
--- a/tests/processes/child_process.cc
+++ b/tests/processes/child_process.cc
@@ -33,8 +33,8 @@
   exit_code_ = -1;
 }
 
-void ChildProcess::stop(bool on) {
-  if (!exit_code()) ::kill(pid_, on ? SIGSTOP : SIGCONT);
+void ChildProcess::set_suspended(bool suspended) {
+  if (!exit_code()) ::kill(pid_, suspended ? SIGSTOP : SIGCONT);
 }
 
 std::optional<int> ChildProcess::exit_code() {
--- a/tests/processes/command_line_test.cc
+++ b/tests/processes/command_line_test.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr int kDone = 0, kFailed = 1, kMalformed = 2, kNotKnown = 3;
+constexpr int kSuccess = 0, kFailed = 1, kInvalidUsage = 2, kOutcomeUnknown = 3;
 
 std::string new_directory(const char* name) {
   const std::string directory =
@@ -45,33 +45,35 @@
     std::ofstream(directory_ + "/" + name) << text;
     return directory_ + "/" + name;
   }
-  bool said(const std::string& text) const { return output_.find(text) != std::string::npos; }
+  bool output_contains(const std::string& text) const {
+    return output_.find(text) != std::string::npos;
+  }
 
   std::string directory_ = new_directory("command_line"), output_;
 };
 
 TEST_F(CommandLine, InvalidOptionsAreNamedAndNothingIsSent) {
   const std::string addr = "127.0.0.1:1";  // no process listens on this port
-  EXPECT_EQ(run({"upgrade"}), kMalformed);
-  EXPECT_EQ(run({"upgrade", "status"}), kMalformed);
-  EXPECT_TRUE(said("--addr")) << output_;
-  EXPECT_EQ(run({"upgrade", "status", "--addr", "nowhere"}), kMalformed);
-  EXPECT_TRUE(said("nowhere: not an address")) << output_;
-  EXPECT_EQ(run({"upgrade", "advance", "--addr", addr}), kMalformed);
-  EXPECT_TRUE(said("--reason")) << output_;
+  EXPECT_EQ(run({"upgrade"}), kInvalidUsage);
+  EXPECT_EQ(run({"upgrade", "status"}), kInvalidUsage);
+  EXPECT_TRUE(output_contains("--addr")) << output_;
+  EXPECT_EQ(run({"upgrade", "status", "--addr", "nowhere"}), kInvalidUsage);
+  EXPECT_TRUE(output_contains("nowhere: not an address")) << output_;
+  EXPECT_EQ(run({"upgrade", "advance", "--addr", addr}), kInvalidUsage);
+  EXPECT_TRUE(output_contains("--reason")) << output_;
   EXPECT_EQ(run({"upgrade", "advance", "--addr", addr, "--reason", "x", "--without", "n2"}),
-            kMalformed);
-  EXPECT_TRUE(said("--without")) << output_;
-  EXPECT_EQ(run({"upgrade", "finalize", "--addr", addr, "--reason", "x"}), kMalformed);
-  EXPECT_TRUE(said("--yes")) << output_;
-  EXPECT_EQ(run({"upgrade", "plan", "--addr", addr, "--action", "jump"}), kMalformed);
-  EXPECT_EQ(run({"upgrade", "plan", "--addr", addr, "--by", ""}), kMalformed);
+            kInvalidUsage);
+  EXPECT_TRUE(output_contains("--without")) << output_;
+  EXPECT_EQ(run({"upgrade", "finalize", "--addr", addr, "--reason", "x"}), kInvalidUsage);
+  EXPECT_TRUE(output_contains("--yes")) << output_;
+  EXPECT_EQ(run({"upgrade", "plan", "--addr", addr, "--action", "jump"}), kInvalidUsage);
+  EXPECT_EQ(run({"upgrade", "plan", "--addr", addr, "--by", ""}), kInvalidUsage);
 }
 
 TEST_F(CommandLine, UnreachableControllerIsNamed) {
   for (const char* command : {"status", "plan", "history"}) {
     EXPECT_EQ(run({"upgrade", command, "--addr", "127.0.0.1:1"}), kFailed) << command;
-    EXPECT_TRUE(said("127.0.0.1:1: no answer")) << output_;
+    EXPECT_TRUE(output_contains("127.0.0.1:1: no answer")) << output_;
   }
   EXPECT_EQ(run({"upgrade", "advance", "--reason", "x", "--addr", "127.0.0.1:1"}), kFailed);
 }
@@ -83,8 +85,8 @@
            "[upgrade.automatic]\nenabled = true\ntime_zone = \"Etc/UTC\"\n"
            "[[upgrade.automatic.windows]]\ndays = [\"sat\"]\nfrom = \"late\"\nto = \"04:00\"\n");
   for (const char* command : {"check", "serve"}) {
-    EXPECT_EQ(run({command, "--upgrade", bad, "--config", platform}), kMalformed) << command;
-    EXPECT_TRUE(said(bad + ": upgrade.automatic.windows[0].from:")) << output_;
+    EXPECT_EQ(run({command, "--upgrade", bad, "--config", platform}), kInvalidUsage) << command;
+    EXPECT_TRUE(output_contains(bad + ": upgrade.automatic.windows[0].from:")) << output_;
   }
 }
 
@@ -100,7 +102,7 @@
   }
   // Waits until all controllers have acknowledged the version, and then a second more until each
   // has seen the others' records.
-  bool all_act_under(std::uint64_t version) {
+  bool wait_until_all_act_under(std::uint64_t version) {
     const bool all = cluster_.run_until(20, [&] {
       return cluster_.simulated_cluster().acting(0) == version &&
              cluster_.simulated_cluster().acting(1) == version &&
@@ -110,11 +112,11 @@
     return all;
   }
   // Runs a command, checks that its exit code is among `codes` and returns its duration in seconds.
-  double timed(const std::vector<std::string>& words, const std::set<int>& codes) {
-    const double began = cluster_.now();
-    const int code = cluster_.command(build_, words);
+  double run_timed_s(const std::vector<std::string>& words, const std::set<int>& codes) {
+    const double started_at_s = cluster_.now();
+    const int code = cluster_.run_command(build_, words);
     EXPECT_TRUE(codes.count(code)) << code << ": " << cluster_.last_output();
-    return cluster_.now() - began;
+    return cluster_.now() - started_at_s;
   }
 
   ControllerBuild build_{EIDERREEL_PROGRAM, true};
@@ -122,48 +124,49 @@
 };
 
 TEST_F(CommandsDuringFailures, ExitWithinABoundedTimeAndStateUnknownOutcomes) {
-  constexpr double kBoundedS = 25;
+  constexpr double kMaxCommandS = 25;
   SimulatedCluster& cluster = cluster_.simulated_cluster();
-  ASSERT_TRUE(all_act_under(1));
+  ASSERT_TRUE(wait_until_all_act_under(1));
   const std::vector<std::string> advance = {"advance", "--reason", "a test"};
 
   // A dry run changes nothing.
-  EXPECT_LT(timed({"advance", "--dry-run"}, {kDone}), kBoundedS);
+  EXPECT_LT(run_timed_s({"advance", "--dry-run"}, {kSuccess}), kMaxCommandS);
   EXPECT_EQ(cluster_.simulated_cluster().cluster_version(), 1u);
 
   // One controller is down: the others reply and name it as an obstacle.
   cluster_.kill(0);
   cluster_.run_for(6);
-  EXPECT_LT(timed(advance, {kFailed}), kBoundedS);
+  EXPECT_LT(run_timed_s(advance, {kFailed}), kMaxCommandS);
   EXPECT_NE(cluster_.last_output().find("obstacle: n0"), std::string::npos);
   cluster_.start(0, build_);
-  ASSERT_TRUE(all_act_under(1));
+  ASSERT_TRUE(wait_until_all_act_under(1));
 
   // The state store rejects every request: the command fails or reports an unknown outcome.
   cluster.state_outage(true);
-  EXPECT_LT(timed(advance, {kFailed, kNotKnown}), kBoundedS);
+  EXPECT_LT(run_timed_s(advance, {kFailed, kOutcomeUnknown}), kMaxCommandS);
   cluster.state_outage(false);
   cluster_.run_for(3);
   ASSERT_EQ(cluster_.simulated_cluster().cluster_version(), 1u);
 
   // The state store applies transactions late and without a reply: the controller reads the outcome
   // instead of retrying the step.
-  ASSERT_TRUE(all_act_under(1));
+  ASSERT_TRUE(wait_until_all_act_under(1));
   cluster.late_writes({1, 1, 3});
-  EXPECT_LT(timed(advance, {kDone, kNotKnown}), kBoundedS);
+  EXPECT_LT(run_timed_s(advance, {kSuccess, kOutcomeUnknown}), kMaxCommandS);
   cluster.late_writes({});
   cluster_.run_for(5);
   EXPECT_EQ(cluster_.simulated_cluster().cluster_version(), 2u);
   EXPECT_EQ(cluster_.simulated_cluster().versions().versions(), (std::vector<std::uint64_t>{1, 2}));
 
   // The state store is slow.
-  ASSERT_TRUE(all_act_under(2));
+  ASSERT_TRUE(wait_until_all_act_under(2));
   cluster.state_slow(1.0);
-  EXPECT_LT(timed({"status"}, {kDone}), kBoundedS);
-  EXPECT_LT(timed({"history"}, {kDone, kFailed}), kBoundedS);
-  EXPECT_LT(timed({"abort", "--reason", "a test"}, {kDone, kFailed, kNotKnown}), kBoundedS);
+  EXPECT_LT(run_timed_s({"status"}, {kSuccess}), kMaxCommandS);
+  EXPECT_LT(run_timed_s({"history"}, {kSuccess, kFailed}), kMaxCommandS);
+  EXPECT_LT(run_timed_s({"abort", "--reason", "a test"}, {kSuccess, kFailed, kOutcomeUnknown}),
+            kMaxCommandS);
   cluster.state_slow(0);
-  EXPECT_LT(timed({"history", "--json"}, {kDone}), kBoundedS);
+  EXPECT_LT(run_timed_s({"history", "--json"}, {kSuccess}), kMaxCommandS);
   rapidjson::Document history;
   history.Parse(cluster_.last_output().c_str());
   EXPECT_TRUE(history.IsObject()) << cluster_.last_output();
--- a/tests/processes/process_cluster.cc
+++ b/tests/processes/process_cluster.cc
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr int kControllers = 3;
-constexpr Ms kStepMs = 2;                 // pace of the simulated cluster
-constexpr double kCommandPatienceS = 60;  // above the bounded time of every command
-constexpr Ms kUserPatienceMs = 5000;      // for requests without a timeout of their own
+constexpr Ms kPollIntervalMs = 2;          // pace of the simulated cluster
+constexpr double kCommandTimeoutS = 60;    // above the bounded time of every command
+constexpr Ms kControllerTimeoutMs = 5000;  // for requests without a timeout of their own
 
 Ms steady_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -82,7 +82,7 @@
                                      std::function<void(HttpReply)> done) {
   HttpRequest sent = request;
   sent.addr = addresses_[static_cast<std::size_t>(node)].api;
-  if (sent.timeout == 0) sent.timeout = kUserPatienceMs;
+  if (sent.timeout == 0) sent.timeout = kControllerTimeoutMs;
   clients_[static_cast<std::size_t>(node)]->send(std::move(sent), std::move(done));
 }
 
@@ -125,7 +125,7 @@
       std::make_unique<ChildProcess>(words, fmt::format("{}/n{}.log", directory_, node));
 }
 
-std::optional<int> ProcessCluster::ended(int node) {
+std::optional<int> ProcessCluster::exit_code_of(int node) {
   auto& controller = controllers_[static_cast<std::size_t>(node)];
   return controller ? controller->exit_code() : std::nullopt;
 }
@@ -138,12 +138,12 @@
     simulated_cluster_->run_until(now());
     event_base_loop(base_.get(), EVLOOP_NONBLOCK);
     if (condition()) return true;
-    std::this_thread::sleep_for(std::chrono::milliseconds(kStepMs));
+    std::this_thread::sleep_for(std::chrono::milliseconds(kPollIntervalMs));
   }
   return condition();
 }
 
-int ProcessCluster::command(const ControllerBuild& build, std::vector<std::string> words) {
+int ProcessCluster::run_command(const ControllerBuild& build, std::vector<std::string> words) {
   words.insert(words.begin(), {build.program, "upgrade"});
   for (const auto& address : addresses_) words.insert(words.end(), {"--addr", address.api});
   const std::string output = directory_ + "/command.log";
@@ -151,7 +151,7 @@
   std::string line = "$ eiderreel";
   for (std::size_t i = 1; i < words.size(); ++i) line += " " + words[i];
   ChildProcess child(words, output);
-  run_until(kCommandPatienceS, [&] { return child.exit_code().has_value(); });
+  run_until(kCommandTimeoutS, [&] { return child.exit_code().has_value(); });
   const int code = child.exit_code().value_or(-1);
   std::printf("%s\n%s-> %d\n", line.c_str(), last_output().c_str(), code);
   return code;
--- a/tests/processes/process_cluster.h
+++ b/tests/processes/process_cluster.h
@@ -28,9 +28,11 @@
   UpgradeCluster& simulated_cluster() { return *simulated_cluster_; }
   void start(int node, const ControllerBuild& build);
   void kill(int node) { controllers_[static_cast<std::size_t>(node)].reset(); }
-  void stop(int node, bool on) { controllers_[static_cast<std::size_t>(node)]->stop(on); }
+  void set_suspended(int node, bool suspended) {
+    controllers_[static_cast<std::size_t>(node)]->set_suspended(suspended);
+  }
   // The exit code of a controller that has exited on its own; nullopt while it runs.
-  std::optional<int> ended(int node);
+  std::optional<int> exit_code_of(int node);
   // Runs the cluster until the condition holds, at most for `seconds_from_now`. Returns whether it
   // holds.
   bool run_until(double seconds_from_now, const std::function<bool()>& condition);
@@ -39,7 +41,7 @@
   }
   double now() const;
   // Runs `eiderreel upgrade ...` with the addresses of all controllers and returns its exit code.
-  int command(const ControllerBuild& build, std::vector<std::string> words);
+  int run_command(const ControllerBuild& build, std::vector<std::string> words);
   const std::string& directory() const { return directory_; }
   std::string last_output() const;  // of the last command
 
--- a/tests/processes/rolling_upgrade_processes_test.cc
+++ b/tests/processes/rolling_upgrade_processes_test.cc
@@ -18,10 +18,10 @@
 
 namespace {
 
-constexpr double kSubmitEveryS = 0.4;
-constexpr double kStepPatienceS = 40;   // a step is requested repeatedly until it is taken
-constexpr double kReadyPatienceS = 20;  // a started controller has written its node record by then
-constexpr double kDrainPatienceS = 90;  // all jobs have finished by then
+constexpr double kSubmitIntervalS = 0.4;
+constexpr double kStepTimeoutS = 40;   // a step is requested repeatedly until it is taken
+constexpr double kReadyTimeoutS = 20;  // a started controller has written its node record by then
+constexpr double kDrainTimeoutS = 90;  // all jobs have finished by then
 
 class RollingUpgradeProcesses : public testing::Test {
  protected:
@@ -51,7 +51,7 @@
   // Submits jobs continuously and cancels some; the simulated users poll each job.
   void submit_while_running() {
     SimulatedCluster& cluster = cluster_.simulated_cluster();
-    cluster.at(cluster.now() + kSubmitEveryS, [this, &cluster] {
+    cluster.at(cluster.now() + kSubmitIntervalS, [this, &cluster] {
       if (!submitting_) return;
       const std::string id = "run-" + std::to_string(++jobs_);
       const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(jobs_ % 3)];
@@ -71,8 +71,8 @@
     return true;
   }
 
-  double number_in(double least, double most) {
-    return std::uniform_real_distribution<double>(least, most)(random_);
+  double random_between(double lower, double upper) {
+    return std::uniform_real_distribution<double>(lower, upper)(random_);
   }
   int pick(int count) { return std::uniform_int_distribution<int>(0, count - 1)(random_); }
 
@@ -82,32 +82,34 @@
   bool has_record(int node) {
     const std::string* record =
         cluster_.simulated_cluster().stored("e/node/n" + std::to_string(node));
-    const std::string mark = upgraded_.count(node) ? "\"newest\":4" : "\"boot\"";
-    return record && record->find(mark) != std::string::npos;
+    const std::string build_marker = upgraded_.count(node) ? "\"newest\":4" : "\"boot\"";
+    return record && record->find(build_marker) != std::string::npos;
   }
   void restart(int node) {
     cluster_.kill(node);
-    cluster_.run_for(number_in(0.05, 1.5));
+    cluster_.run_for(random_between(0.05, 1.5));
     cluster_.start(node, build_of(node));
   }
   // Kills and restarts a random controller, or suspends it, sometimes for longer than its lease.
-  void disturb() {
+  void inject_fault() {
     const int node = pick(3);
     if (pick(3) > 0) return restart(node);
-    cluster_.stop(node, true);
-    cluster_.run_for(number_in(0.5, 7));
-    cluster_.stop(node, false);
+    cluster_.set_suspended(node, true);
+    cluster_.run_for(random_between(0.5, 7));
+    cluster_.set_suspended(node, false);
   }
   // Requests a step until it is taken; a restart may happen during or between the attempts.
   void take_step(std::vector<std::string> words, std::uint64_t version) {
-    cluster_.simulated_cluster().at(cluster_.simulated_cluster().now() + number_in(0, 0.4), [this] {
-      if (const int node = pick(3); pick(2) == 0) kill_soon_ = node;
-    });
-    const double end = cluster_.now() + kStepPatienceS;
+    cluster_.simulated_cluster().at(cluster_.simulated_cluster().now() + random_between(0, 0.4),
+                                    [this] {
+                                      if (const int node = pick(3); pick(2) == 0)
+                                        node_to_restart_ = node;
+                                    });
+    const double end = cluster_.now() + kStepTimeoutS;
     while (cluster_.simulated_cluster().cluster_version() < version && cluster_.now() < end) {
-      const int code = cluster_.command(newer_, words);
+      const int code = cluster_.run_command(newer_, words);
       EXPECT_TRUE(code == 0 || code == 1 || code == 3) << code << ": " << cluster_.last_output();
-      if (kill_soon_ >= 0) restart(std::exchange(kill_soon_, -1));
+      if (node_to_restart_ >= 0) restart(std::exchange(node_to_restart_, -1));
       cluster_.run_for(1);
     }
     EXPECT_EQ(cluster_.simulated_cluster().cluster_version(), version) << cluster_.last_output();
@@ -118,13 +120,13 @@
   ControllerBuild newer_, older_;
   ProcessCluster cluster_;
   std::set<int> upgraded_;
-  int jobs_ = 0, kill_soon_ = -1;
+  int jobs_ = 0, node_to_restart_ = -1;
   bool submitting_ = true;
 };
 
 TEST_F(RollingUpgradeProcesses, LosesNoJobAndPlacesNoneTwice) {
   for (int node = 0; node < 3; ++node) cluster_.start(node, older_);
-  ASSERT_TRUE(cluster_.run_until(kReadyPatienceS,
+  ASSERT_TRUE(cluster_.run_until(kReadyTimeoutS,
                                  [&] { return has_record(0) && has_record(1) && has_record(2); }));
   submit_while_running();
   cluster_.run_for(4);
@@ -132,36 +134,36 @@
   std::vector<int> order = {0, 1, 2};
   std::shuffle(order.begin(), order.end(), random_);
   for (const int node : order) {
-    EXPECT_EQ(cluster_.command(newer_, {"advance", "--reason", "too early"}), 1)
+    EXPECT_EQ(cluster_.run_command(newer_, {"advance", "--reason", "too early"}), 1)
         << "a step is refused while an older build runs: " << cluster_.last_output();
     std::printf("upgrading n%d\n", node);
     upgraded_.insert(node);
     restart(node);
-    EXPECT_TRUE(cluster_.run_until(kReadyPatienceS, [&] { return has_record(node); }));
-    if (pick(2) == 0) disturb();
-    EXPECT_EQ(cluster_.command(newer_, {"status"}), 0) << cluster_.last_output();
+    EXPECT_TRUE(cluster_.run_until(kReadyTimeoutS, [&] { return has_record(node); }));
+    if (pick(2) == 0) inject_fault();
+    EXPECT_EQ(cluster_.run_command(newer_, {"status"}), 0) << cluster_.last_output();
   }
 
   take_step({"advance", "--reason", "write compact"}, 2);
-  disturb();
+  inject_fault();
   take_step({"advance", "--reason", "convert"}, 3);
-  disturb();
-  EXPECT_EQ(cluster_.command(newer_, {"status"}), 0) << cluster_.last_output();
-  cluster_.command(newer_, {"plan", "--action", "finalize"});
+  inject_fault();
+  EXPECT_EQ(cluster_.run_command(newer_, {"status"}), 0) << cluster_.last_output();
+  cluster_.run_command(newer_, {"plan", "--action", "finalize"});
   take_step({"finalize", "--yes", "--reason", "no older build is left"}, 4);
-  EXPECT_EQ(cluster_.command(newer_, {"abort", "--reason", "too late"}), 1);
+  EXPECT_EQ(cluster_.run_command(newer_, {"abort", "--reason", "too late"}), 1);
   EXPECT_NE(cluster_.last_output().find("is final"), std::string::npos) << cluster_.last_output();
-  EXPECT_EQ(cluster_.command(newer_, {"history"}), 0);
+  EXPECT_EQ(cluster_.run_command(newer_, {"history"}), 0);
   cluster_.run_for(3);
 
   submitting_ = false;
   cluster_.simulated_cluster().faults_over();
-  EXPECT_TRUE(cluster_.run_until(kDrainPatienceS, [&] { return all_ended(); }));
+  EXPECT_TRUE(cluster_.run_until(kDrainTimeoutS, [&] { return all_ended(); }));
   for (int node = 0; node < 3; ++node) {
-    EXPECT_FALSE(cluster_.ended(node)) << "n" << node << " ended by itself";
+    EXPECT_FALSE(cluster_.exit_code_of(node)) << "n" << node << " ended by itself";
     EXPECT_EQ(cluster_.simulated_cluster().acting(node), 4u);
   }
-  EXPECT_EQ(cluster_.simulated_cluster().progress_in_bits(), 0u);
+  EXPECT_EQ(cluster_.simulated_cluster().progress_values_in_bits(), 0u);
   EXPECT_GT(cluster_.simulated_cluster().versions().progress_written(true), 0u);
   std::printf("%d jobs, %zu starts, %.0f s\n", jobs_,
               cluster_.simulated_cluster().checker().starts(), cluster_.now());
--- a/tests/processes/stand_in_servers.cc
+++ b/tests/processes/stand_in_servers.cc
@@ -16,7 +16,7 @@
 constexpr char kLoopback[] = "127.0.0.1";
 constexpr int kFirstPort = 20000;  // below the system's ephemeral port range
 constexpr int kPortBlocks = 700;   // ports up to 31200; the process id selects a block
-constexpr int kPortsOfProcess = 16;
+constexpr int kPortsPerBlock = 16;
 
 int port_of(int socket) {
   sockaddr_in bound{};
@@ -49,7 +49,7 @@
 // Doesn't use ephemeral ports: the system may hand out the same one twice, or give it to a stand-in
 // server before the controller that it was reserved for has started.
 int free_port() {
-  static int next = kFirstPort + getpid() % kPortBlocks * kPortsOfProcess;
+  static int next = kFirstPort + getpid() % kPortBlocks * kPortsPerBlock;
   while (!can_bind(next)) ++next;
   return next++;
 }
@@ -63,21 +63,21 @@
 }
 
 StandInServer::~StandInServer() {
-  open_.clear();
+  pending_replies_.clear();
   evhttp_free(server_);
 }
 
 void StandInServer::on_request(evhttp_request* request, void* self) {
-  HttpRequest arrived;
-  arrived.method = method_of(request);
-  arrived.path = evhttp_request_get_uri(request);
-  arrived.body = net::take_body(request);
+  HttpRequest received;
+  received.method = method_of(request);
+  received.path = evhttp_request_get_uri(request);
+  received.body = net::take_body(request);
   auto* server = static_cast<StandInServer*>(self);
   const auto pending = std::make_shared<net::PendingReply>(request);
-  server->open_.insert(pending);
-  server->handler_(arrived, [server, pending](HttpReply reply) {
+  server->pending_replies_.insert(pending);
+  server->handler_(received, [server, pending](HttpReply reply) {
     pending->send(reply.status, reply.body);
-    server->open_.erase(pending);
+    server->pending_replies_.erase(pending);
   });
 }
 
--- a/tests/processes/stand_in_servers.h
+++ b/tests/processes/stand_in_servers.h
@@ -31,7 +31,7 @@
   Handler handler_;
   // Requests without a reply yet. A request whose reply is lost must stay open: closing it with a
   // 503 would state that it was not executed.
-  std::set<std::shared_ptr<net::PendingReply>> open_;
+  std::set<std::shared_ptr<net::PendingReply>> pending_replies_;
   std::string address_;
 };
 
--- a/tests/scheduler/heartbeats_test.cc
+++ b/tests/scheduler/heartbeats_test.cc
@@ -108,12 +108,12 @@
 TEST_F(PartitionSchedulerHeartbeats, DuplicatedAndReorderedHeartbeatsAreIgnored) {
   partition.add_machine("m-1", 12, true, 0);
   partition.open_job(job("run-1", 1), 11, false, {});
-  Heartbeat old = heartbeat("m-1");
-  partition.on_heartbeat(old, 100);
+  Heartbeat first_heartbeat = heartbeat("m-1");
+  partition.on_heartbeat(first_heartbeat, 100);
   auto starts = partition.place_tasks("m-1", 100);
   ASSERT_EQ(starts.size(), 1u);
   partition.on_heartbeat(heartbeat("m-1", {task("run-1", 0, starts[0].attempt)}), 200);
-  EXPECT_EQ(partition.on_heartbeat(old, 300).verdict, HeartbeatVerdict::stale);
+  EXPECT_EQ(partition.on_heartbeat(first_heartbeat, 300).verdict, HeartbeatVerdict::stale);
   EXPECT_EQ(partition.status("run-1")->running, 1u);
 }
 
@@ -213,10 +213,10 @@
   ASSERT_EQ(partition.place_tasks("m-1", 100).size(), 8u);
   partition.heartbeat_answered("m-1", 100);
   partition.on_heartbeat(heartbeat("m-1"), 1100);
-  auto trial = partition.place_tasks("m-1", 1100);
-  ASSERT_EQ(trial.size(), 1u);
+  auto probe = partition.place_tasks("m-1", 1100);
+  ASSERT_EQ(probe.size(), 1u);
   partition.heartbeat_answered("m-1", 1100);
-  EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", running_of(trial)), 1600).verdict,
+  EXPECT_EQ(partition.on_heartbeat(heartbeat("m-1", running_of(probe)), 1600).verdict,
             HeartbeatVerdict::ok);
   EXPECT_EQ(partition.place_tasks("m-1", 1600).size(), 7u);
 }
--- a/tests/scheduler/placement_test.cc
+++ b/tests/scheduler/placement_test.cc
@@ -24,12 +24,12 @@
 // deadline comes last.
 TEST_F(PartitionSchedulerPlacement, TightestFeasibleDeadlineGoesFirst) {
   partition.add_machine("m-1", 12, true, 0);
-  JobSpec loose = job("run-1", 2), tight = job("run-2", 2), lost = job("run-3", 2);
+  JobSpec loose = job("run-1", 2), tight = job("run-2", 2), infeasible = job("run-3", 2);
   loose.deadline_s = 100;
   tight.deadline_s = 40;
-  lost.deadline_s = 10;
-  loose.estimate_s = tight.estimate_s = lost.estimate_s = 20;
-  partition.open_job(lost, 11, false, {});
+  infeasible.deadline_s = 10;
+  loose.estimate_s = tight.estimate_s = infeasible.estimate_s = 20;
+  partition.open_job(infeasible, 11, false, {});
   partition.open_job(loose, 12, false, {});
   partition.open_job(tight, 13, false, {});
   JobSpec soon = job("run-4", 2);
@@ -48,18 +48,18 @@
 TEST_F(PartitionSchedulerPlacement, HonoursOneZoneAndSpreadConstraints) {
   partition.add_machine("m-1", 12, true, 0);
   partition.add_machine("m-2", 12, true, 0);
-  JobSpec apart = job("run-1", 5);
-  apart.spread = true;
-  partition.open_job(apart, 11, false, {});
+  JobSpec spread_job = job("run-1", 5);
+  spread_job.spread = true;
+  partition.open_job(spread_job, 11, false, {});
   partition.on_heartbeat(heartbeat("m-1"), 100);
   EXPECT_EQ(partition.place_tasks("m-1", 100).size(), 3u);
   JobSpec one = job("run-2", 8, "blue");
   one.one_zone = true;
   partition.open_job(one, 12, false, {});
   EXPECT_EQ(partition.place_tasks("m-1", 150).size(), 5u);
-  Heartbeat far = heartbeat("m-2");
-  far.zone = "b";
-  partition.on_heartbeat(far, 200);
+  Heartbeat from_other_zone = heartbeat("m-2");
+  from_other_zone.zone = "b";
+  partition.on_heartbeat(from_other_zone, 200);
   auto starts = partition.place_tasks("m-2", 200);
   ASSERT_EQ(starts.size(), 2u);
   EXPECT_EQ(starts[0].job, "run-1");
@@ -141,20 +141,20 @@
 TEST_F(PartitionSchedulerPlacement, FairShareIsReclaimedInTimeForItsObjective) {
   SchedulingPolicy limits = kLimits;
   limits.fair_share_start_ms = 15000;
-  PartitionScheduler patient{0, kToken, 0, limits, {{"red", 4, 12, 0, 0}, {"blue", 4, 12, 0, 0}}};
-  patient.set_types({box()});
-  patient.add_machine("m-1", 12, true, 0);
-  patient.open_job(job("run-1", 8, "red"), 11, false, {});
-  patient.on_heartbeat(heartbeat("m-1", {}, 12), 100);
-  const auto running = running_of(patient.place_tasks("m-1", 100));
+  PartitionScheduler scheduler{0, kToken, 0, limits, {{"red", 4, 12, 0, 0}, {"blue", 4, 12, 0, 0}}};
+  scheduler.set_types({box()});
+  scheduler.add_machine("m-1", 12, true, 0);
+  scheduler.open_job(job("run-1", 8, "red"), 11, false, {});
+  scheduler.on_heartbeat(heartbeat("m-1", {}, 12), 100);
+  const auto running = running_of(scheduler.place_tasks("m-1", 100));
   ASSERT_EQ(running.size(), 8u);
-  patient.open_job(job("run-2", 4, "blue"), 12, false, {});
+  scheduler.open_job(job("run-2", 4, "blue"), 12, false, {});
   for (Ms now : {1000, 4000, 8000, 12000}) {
-    patient.on_heartbeat(heartbeat("m-1", running, 12), now);
-    EXPECT_TRUE(patient.place_tasks("m-1", now).empty()) << now;
+    scheduler.on_heartbeat(heartbeat("m-1", running, 12), now);
+    EXPECT_TRUE(scheduler.place_tasks("m-1", now).empty()) << now;
   }
-  patient.on_heartbeat(heartbeat("m-1", running, 12), 13500);
-  EXPECT_EQ(patient.place_tasks("m-1", 13500).size(), 8u);  // four kills, four launches
+  scheduler.on_heartbeat(heartbeat("m-1", running, 12), 13500);
+  EXPECT_EQ(scheduler.place_tasks("m-1", 13500).size(), 8u);  // four kills, four launches
 }
 
 // No borrower is preempted for tasks that fit on another machine with free capacity, even if that
@@ -197,7 +197,7 @@
   partition.open_job(with_image("run-2", "blue"), 13, false, {});
   partition.on_heartbeat(heartbeat("m-1", running_of(starts)), 10000);
   partition.open_job(with_image("run-3", "red"), 14, false, {});
-  auto freed = [&](Ms now) {
+  auto first_started_after_a_completion = [&](Ms now) {
     auto tasks = running_of(starts);
     tasks.back().phase = TaskPhase::exited;
     tasks.back().exit_reason = ExitReason::done;
@@ -209,10 +209,10 @@
     starts.insert(starts.begin(), more.begin(), more.end());
     return more.empty() ? "" : more[0].job;
   };
-  EXPECT_EQ(freed(20000), "run-3");
+  EXPECT_EQ(first_started_after_a_completion(20000), "run-3");
   partition.close_job("run-3");
   partition.open_job(with_image("run-4", "red"), 15, false, {}, -20000);
-  EXPECT_EQ(freed(40000), "run-2");
+  EXPECT_EQ(first_started_after_a_completion(40000), "run-2");
 }
 
 // A task waits only briefly for a machine that has its image and free capacity.
--- a/tests/settings_file_test.cc
+++ b/tests/settings_file_test.cc
@@ -16,7 +16,7 @@
   return path;
 }
 
-const char* const kGood = R"(
+const char* const kValidSettings = R"(
 node_name = "n0"
 area = "a"
 api_addr = "10.0.0.1:8080"
@@ -57,30 +57,31 @@
 max_sockets = 600
 )";
 
-std::string with(const std::string& from, const std::string& to) {
-  std::string text = kGood;
+std::string with_replacement(const std::string& from, const std::string& to) {
+  std::string text = kValidSettings;
   text.replace(text.find(from), from.size(), to);
   return text;
 }
 
 TEST(SettingsFile, ValidFileHasNoProblems) {
-  auto loaded = load_settings(file_with(kGood));
+  auto loaded = load_settings(file_with(kValidSettings));
   EXPECT_TRUE(loaded.problems.empty());
   EXPECT_EQ(loaded.settings.partition_of_team("red"), 0);
   EXPECT_EQ(loaded.settings.preferred_leader_of(1), "n1");
 }
 
 TEST(SettingsFile, ZeroQuotaMeansUnlimited) {
-  auto loaded = load_settings(file_with(with("cpus_max = 20.0", "cpus_max = 0")));
+  auto loaded = load_settings(file_with(with_replacement("cpus_max = 20.0", "cpus_max = 0")));
   EXPECT_TRUE(loaded.problems.empty());
   EXPECT_GT(loaded.settings.teams.at(0).quota_cpus, 1e9);
   EXPECT_GT(loaded.settings.teams.at(0).quota_gpus, 1e9);
 }
 
 TEST(SettingsFile, FairShareObjectiveIsParsed) {
-  EXPECT_EQ(load_settings(file_with(kGood)).settings.fair_share_start_s, 5);
-  const std::string aim = "[[params.objectives]]\nkind = \"guarantee\"\nwithin_s = 15.0\n";
-  auto loaded = load_settings(file_with(with("[params.workers]", aim + "[params.workers]")));
+  EXPECT_EQ(load_settings(file_with(kValidSettings)).settings.fair_share_start_s, 5);
+  const std::string objective = "[[params.objectives]]\nkind = \"guarantee\"\nwithin_s = 15.0\n";
+  auto loaded = load_settings(
+      file_with(with_replacement("[params.workers]", objective + "[params.workers]")));
   EXPECT_TRUE(loaded.problems.empty());
   EXPECT_EQ(loaded.settings.fair_share_start_s, 15);
 }
@@ -89,7 +90,8 @@
 // applies.
 TEST(SettingsFile, LowerOfCurrentAndNextLimitsApplies) {
   const std::string next = "[params.state.next]\nrps = 90.0\nvalue_kb = 2.0\ntxn_ops = 5\n";
-  auto loaded = load_settings(file_with(with("[params.cloud]", next + "[params.cloud]")));
+  auto loaded =
+      load_settings(file_with(with_replacement("[params.cloud]", next + "[params.cloud]")));
   EXPECT_TRUE(loaded.problems.empty());
   EXPECT_EQ(loaded.settings.state_rps, 60);
   EXPECT_EQ(loaded.settings.state_write_rps, 20);
@@ -105,20 +107,21 @@
     std::string text, field;
   };
   for (const Case& invalid :
-       {Case{with("node_name = \"n0\"", ""), "node_name"},
-        Case{with("area = \"a\"", "area = 7"), "area"},
-        Case{with("10.0.0.1:8080", "10.0.0.1"), "api_addr"},
-        Case{with("\"n1\"", "\"n0\""), "known[0].node_name"},
-        Case{with("size = 2", "size = \"two\""), "params.size"},
-        Case{with("size = 2", "size = 0"), "params.size"},
-        Case{with("cpus = 10.0", "cpus = 30.0"), "params.teams[0].cpus"},
-        Case{with("lease_s = 10.0", "lease_s = 0.9"), "params.workers.lease_s"},
-        Case{with("rps = 60.0", "rps = -1"), "params.state.rps"},
-        Case{with("value_kb = 8.0", "value_kb = 0.5"), "params.state.value_kb"},
-        Case{with(cloud, next + "txn_ops = 1\n" + cloud), "params.state.next.txn_ops"},
-        Case{with(cloud, next + "value_kb = \"two\"\n" + cloud), "params.state.next.value_kb"},
-        Case{with("txn_ops = 16", "txn_ops = 16\nnext = 7"), "params.state.next"},
-        Case{with("cloud = \"10.2.0.2:8443\"", ""), "outside.cloud"}}) {
+       {Case{with_replacement("node_name = \"n0\"", ""), "node_name"},
+        Case{with_replacement("area = \"a\"", "area = 7"), "area"},
+        Case{with_replacement("10.0.0.1:8080", "10.0.0.1"), "api_addr"},
+        Case{with_replacement("\"n1\"", "\"n0\""), "known[0].node_name"},
+        Case{with_replacement("size = 2", "size = \"two\""), "params.size"},
+        Case{with_replacement("size = 2", "size = 0"), "params.size"},
+        Case{with_replacement("cpus = 10.0", "cpus = 30.0"), "params.teams[0].cpus"},
+        Case{with_replacement("lease_s = 10.0", "lease_s = 0.9"), "params.workers.lease_s"},
+        Case{with_replacement("rps = 60.0", "rps = -1"), "params.state.rps"},
+        Case{with_replacement("value_kb = 8.0", "value_kb = 0.5"), "params.state.value_kb"},
+        Case{with_replacement(cloud, next + "txn_ops = 1\n" + cloud), "params.state.next.txn_ops"},
+        Case{with_replacement(cloud, next + "value_kb = \"two\"\n" + cloud),
+             "params.state.next.value_kb"},
+        Case{with_replacement("txn_ops = 16", "txn_ops = 16\nnext = 7"), "params.state.next"},
+        Case{with_replacement("cloud = \"10.2.0.2:8443\"", ""), "outside.cloud"}}) {
     const std::string path = file_with(invalid.text);
     auto loaded = load_settings(path);
     ASSERT_EQ(loaded.problems.size(), 1u) << invalid.field;
--- a/tests/state_store_modules_test.cc
+++ b/tests/state_store_modules_test.cc
@@ -70,7 +70,7 @@
   std::vector<int> statuses_;
 };
 
-TEST_F(RequestQueueTest, SendsByPriorityAndNeverHoldsBackUrgentRequests) {
+TEST_F(RequestQueueTest, SendsByPriorityAndNeverDelaysUrgentRequests) {
   submit("/progress", RequestPriority::progress);
   submit("/fleet", RequestPriority::fleet);
   submit("/urgent", RequestPriority::urgent);
@@ -89,7 +89,7 @@
   EXPECT_EQ(runtime_.sent[before + 2].request.path, "/more");
 }
 
-TEST_F(RequestQueueTest, RefusesARequestThatHasWaitedForItsTimeout) {
+TEST_F(RequestQueueTest, RejectsARequestQueuedForLongerThanItsTimeout) {
   while (queue_.size() == 0) submit("/more", RequestPriority::fleet);
   runtime_.time = constants::kStateStoreTimeoutMs;
   queue_.send_allowed();
@@ -101,7 +101,7 @@
   EXPECT_EQ(statuses_, std::vector<int>{http_status::kTooManyRequests});
 }
 
-TEST_F(RequestQueueTest, SendsAUsersRequestAgainThatWasOverTheLimit) {
+TEST_F(RequestQueueTest, RetriesAThrottledUserRequest) {
   submit("/user", RequestPriority::user);
   runtime_.sent.at(0).done({http_status::kTooManyRequests, ""});
   ASSERT_EQ(runtime_.timers.size(), 1u);
@@ -116,7 +116,7 @@
   EXPECT_EQ(queue_.last_executed_at(), 100);
 }
 
-TEST(StoreError, SaysWhatWentWrong) {
+TEST(StoreError, DescribesTheFailure) {
   EXPECT_EQ(error_of_reply(0, "read", "a").kind, StoreErrorKind::no_answer);
   EXPECT_EQ(error_of_reply(200, "read", "a").kind, StoreErrorKind::malformed_reply);
   EXPECT_EQ(error_of_reply(400, "read", "a").kind, StoreErrorKind::rejected);
@@ -128,7 +128,7 @@
   EXPECT_EQ(to_string(error_of_reply(0, "compare", "")), "compare: no answer");
 }
 
-TEST(StoreError, OnlySomeStatusesLeaveARequestInDoubt) {
+TEST(StoreError, OnlySomeStatusesLeaveTheOutcomeUnknown) {
   for (const int status : {0, 500, 502, 504}) EXPECT_TRUE(may_have_been_executed(status)) << status;
   for (const int status : {200, 400, 404, 409, 429, 503})
     EXPECT_FALSE(may_have_been_executed(status)) << status;
@@ -144,7 +144,7 @@
   EXPECT_EQ(store_http::lease_renewal_path(7), "/grants/7/extend");
 }
 
-TEST(CasOutcome, HasNames) {
+TEST(CasOutcome, ConvertsToString) {
   EXPECT_EQ(to_string(CasOutcome::ok), "ok");
   EXPECT_EQ(to_string(CasOutcome::conflict), "conflict");
   EXPECT_EQ(to_string(CasOutcome::superseded), "superseded");
@@ -152,7 +152,7 @@
   EXPECT_EQ(to_string(CasOutcome::unknown), "unknown");
 }
 
-TEST(PrerequisiteChunks, AreTakenOnceAllAreHereAndStayKnown) {
+TEST(PrerequisiteChunks, AreReturnedOnceCompleteAndKeepTheirKeys) {
   PrerequisiteChunks chunks;
   chunks.add_key({"job", "nonce", 1}, 10);
   chunks.set_jobs({"job", "nonce", 1}, {"c"});
@@ -171,7 +171,7 @@
   EXPECT_TRUE(chunks.keys().empty());
 }
 
-TEST(FinishedJobs, TellsOnlyWhatIsComplete) {
+TEST(FinishedJobs, ReturnsOnlyACompleteHistory) {
   FinishedJobs finished;
   finished.clear(100);
   finished.add({"a", JobPhase::done, 101});
--- a/tests/stored_messages_test.cc
+++ b/tests/stored_messages_test.cc
@@ -40,8 +40,8 @@
 auto fields(const peer_rpc::PeerStatus& m) {
   const auto c = m.conversion.value_or(ConversionProgress{});
   std::vector<std::pair<int, decltype(fields(PartitionLoad{}))>> partitions;
-  for (const auto& [partition, need] : m.partition_loads)
-    partitions.emplace_back(partition, fields(need));
+  for (const auto& [partition, load] : m.partition_loads)
+    partitions.emplace_back(partition, fields(load));
   return std::tuple(partitions, m.store_usage.requests_per_s, m.store_usage.changes_per_s,
                     m.receives_heartbeats, m.features, m.conversion.has_value(), c.values_left,
                     c.values_converted, c.unreadable, c.values_per_s);
@@ -67,8 +67,8 @@
     ASSERT_EQ(message->body.index(), expected.index()) << kind;
     std::visit(
         [&, &kind = kind](const auto& body) {
-          const auto& same = std::get<std::decay_t<decltype(body)>>(expected);
-          EXPECT_EQ(fields(body), fields(same)) << kind;
+          const auto& expected_message = std::get<std::decay_t<decltype(body)>>(expected);
+          EXPECT_EQ(fields(body), fields(expected_message)) << kind;
         },
         message->body);
     EXPECT_EQ(peer_rpc::encode(*message), frames.at(kind)) << kind;
--- a/tests/stored_state_resumed_test.cc
+++ b/tests/stored_state_resumed_test.cc
@@ -17,34 +17,34 @@
 bool is_last_prerequisite(const std::string& id) {
   return id == "run-101" || id == long_ids().back();
 }
-constexpr double kPrerequisiteS = 40, kBeforeItEndsS = 35;
-constexpr double kSubmittedS = 2;  // no partition has a leader yet
-constexpr double kClaimedS = 3.9;  // all partitions have a leader; no machine has moved yet
-constexpr double kAllOverS = 120;
+constexpr double kPrerequisiteS = 40, kBeforePrerequisiteEndsS = 35;
+constexpr double kResubmittedS = 2;       // no partition has a leader yet
+constexpr double kLeadersElectedS = 3.9;  // all partitions have a leader; no machine has moved yet
+constexpr double kAllDoneS = 120;
 
 // A cluster that starts from the stored state, without the records whose leases have expired.
-class ResumedDay : public UpgradeCluster {
+class ResumedCluster : public UpgradeCluster {
  public:
-  ResumedDay() : UpgradeCluster(resumed_day_options()) {
+  ResumedCluster() : UpgradeCluster(resumed_run_options()) {
     for (const auto& [key, value] : read_stored_values(kStoredValuesFile))
       if (!has_prefix(key, "e/part/") && !has_prefix(key, "e/node/")) store(key, value);
-    for (const auto& day : {jobs_of_first_day(), jobs_of_second_day()})
-      for (const StoredJob& job : day) submit_again(job);
+    for (const auto& jobs_of_run : {jobs_of_first_run(), jobs_of_second_run()})
+      for (const StoredJob& job : jobs_of_run) submit_again(job);
     checker().submitted(done_job());
-    tell_done(done_job().id, {0, 1});
+    report_done(done_job().id, {0, 1});
     checker().submitted(cancelled_job());
     checker().cancel_asked(cancelled_job().id);
-    checker().submitted(every_field_set());
+    checker().submitted(job_with_every_field());
   }
 
-  const std::vector<StoredJob>& open_jobs() const { return open_; }
+  const std::vector<StoredJob>& open_jobs() const { return open_jobs_; }
   void poll(const std::string& id) {
     poll_once(0, id, [](int status, const std::string&) { EXPECT_EQ(status, 200); });
   }
   // The partition of each machine, from the leaders' memory.
   std::map<std::string, int> machines_owned() {
     std::map<std::string, int> machines;
-    for (int i = 0; i < stored_day_options().nodes; ++i)
+    for (int i = 0; i < stored_run_options().nodes; ++i)
       for (const auto& [partition, core] : node(i)->partition_leader().partitions())
         for (const std::string& name : core->machine_names()) machines[name] = partition;
     return machines;
@@ -65,8 +65,8 @@
   }
 
  private:
-  static Options resumed_day_options() {
-    Options options = stored_day_options();
+  static Options resumed_run_options() {
+    Options options = stored_run_options();
     options.upgrades = enabled_upgrades();
     return options;
   }
@@ -76,43 +76,43 @@
     const double run_s = is_last_prerequisite(job.spec.id) ? kPrerequisiteS : 1;
     set_run_s(job.spec.id, job.run_times(kNeverEndsS, run_s));
     checker().submitted(job.spec);
-    at(kSubmittedS, [this, spec = job.spec] { submit(spec); });
-    tell_done(job.spec.id, job.done);
-    open_.push_back(job);
+    at(kResubmittedS, [this, spec = job.spec] { submit(spec); });
+    report_done(job.spec.id, job.done);
+    open_jobs_.push_back(job);
   }
-  void tell_done(const std::string& id, const std::vector<std::uint32_t>& tasks) {
+  void report_done(const std::string& id, const std::vector<std::uint32_t>& tasks) {
     for (const std::uint32_t task : tasks) checker().task_done(0, id, task);
   }
 
-  std::vector<StoredJob> open_;
+  std::vector<StoredJob> open_jobs_;
 };
 
 class StoredStateResumed : public testing::Test {
  protected:
-  void end_of_day() {
-    cluster_.run_until(kAllOverS);
-    for (const auto& id : {stored_service().id, every_field_set().id}) cluster_.cancel(id);
+  void run_to_end() {
+    cluster_.run_until(kAllDoneS);
+    for (const auto& id : {stored_service().id, job_with_every_field().id}) cluster_.cancel(id);
     for (const auto& id : {done_job().id, cancelled_job().id}) cluster_.poll(id);
-    cluster_.run_until(kAllOverS + 20);
+    cluster_.run_until(kAllDoneS + 20);
     expect_rules_kept(cluster_);
   }
 
-  ResumedDay cluster_;
+  ResumedCluster cluster_;
 };
 
 TEST_F(StoredStateResumed, OpenJobsAreRecovered) {
   std::vector<int> submissions, polls;  // statuses of their answers
   for (const StoredJob& job : cluster_.open_jobs()) {
-    cluster_.at(kSubmittedS / 2, [&] {
+    cluster_.at(kResubmittedS / 2, [&] {
       cluster_.raw(0, "POST", "/v1/jobs", submission_text(job.spec),
                    [&](int status, const std::string&) { submissions.push_back(status); });
     });
-    cluster_.at(kClaimedS, [&] {
+    cluster_.at(kLeadersElectedS, [&] {
       cluster_.poll_once(0, job.spec.id,
                          [&](int status, const std::string&) { polls.push_back(status); });
     });
   }
-  cluster_.run_until(kClaimedS + 1);
+  cluster_.run_until(kLeadersElectedS + 1);
   const std::vector<int> all_known(cluster_.open_jobs().size(),
                                    200);  // 201 would mean accepted as a new job
   EXPECT_EQ(submissions, all_known);
@@ -120,7 +120,7 @@
 }
 
 TEST_F(StoredStateResumed, OnlyUnfinishedTasksOfOpenJobsRun) {
-  end_of_day();
+  run_to_end();
   const auto started = cluster_.started();
   for (const StoredJob& job : cluster_.open_jobs()) {
     const std::string& id = job.spec.id;
@@ -134,28 +134,29 @@
 }
 
 TEST_F(StoredStateResumed, BlockedJobsWaitForTheirPrerequisites) {
-  cluster_.run_until(kBeforeItEndsS);
+  cluster_.run_until(kBeforePrerequisiteEndsS);
   for (const std::string id : {"run-104", "run-105"}) {
     EXPECT_EQ(cluster_.phase(id), "queued") << id;
     EXPECT_FALSE(cluster_.started().count(id)) << id;
   }
   EXPECT_EQ(cluster_.phase("run-102"), "done");
   EXPECT_EQ(cluster_.tasks_on(stored_service().id), stored_service().tasks);
-  end_of_day();
+  run_to_end();
   for (const std::string id : {"run-104", "run-105"}) EXPECT_EQ(cluster_.phase(id), "done") << id;
 }
 
 TEST_F(StoredStateResumed, FinalPhasesAreReturnedAndJobKeysAreDeleted) {
-  end_of_day();
+  run_to_end();
   EXPECT_EQ(cluster_.phase(done_job().id), "done");
   EXPECT_EQ(cluster_.phase(cancelled_job().id), "cancelled");
-  EXPECT_EQ(cluster_.phase(every_field_set().id), "cancelled");  // recovered, but fits no machine
+  EXPECT_EQ(cluster_.phase(job_with_every_field().id),
+            "cancelled");  // recovered, but fits no machine
   for (const char* prefix : {"e/job/", "e/awaits/", "d/"})
     EXPECT_EQ(cluster_.keys_under(prefix), 0u);
 }
 
 TEST_F(StoredStateResumed, MachinesKeepTheirPartitionsAndTheReleasedOneIsReturned) {
-  cluster_.run_until(kClaimedS);
+  cluster_.run_until(kLeadersElectedS);
   EXPECT_EQ(cluster_.machines_owned(), (std::map<std::string, int>{{machine(0), 0},
                                                                    {machine(1), 1},
                                                                    {machine(2), 0},
@@ -167,13 +168,13 @@
                                                                    {kSpotMachine, 1}}));
   EXPECT_EQ(cluster_.lines(std::string(kReleasedMachine) + " is returned"), 1u);
   EXPECT_EQ(cluster_.stored(codec::machine_key(kReleasedMachine)), nullptr);
-  end_of_day();
+  run_to_end();
   EXPECT_EQ(cluster_.stored(codec::machine_key(kSpotMachine)),
             nullptr);  // terminated before the restart
 }
 
 TEST_F(StoredStateResumed, ControllersRunAtTheStoredClusterVersion) {
-  end_of_day();
+  run_to_end();
   for (int node = 0; node < 3; ++node) EXPECT_EQ(cluster_.acting(node), 2u);
   EXPECT_EQ(cluster_.cluster_version(), 2u);
   EXPECT_EQ(cluster_.versions().progress_written(false), 0u);
--- a/tests/stored_state_test.cc
+++ b/tests/stored_state_test.cc
@@ -55,11 +55,11 @@
     if (!row) ADD_FAILURE() << "cannot read " << key;
     return row ? &(rows_[key] = std::move(*row)) : nullptr;
   }
-  void expect_written_again(const codec::StateRow& row, const std::string& value) {
+  void expect_reencoded_to(const codec::StateRow& row, const std::string& value) {
     EXPECT_FALSE(row.nonce.empty()) << row.key;
     EXPECT_EQ(value, values_.at(row.key)) << row.key;
   }
-  std::vector<std::string> not_read() const {
+  std::vector<std::string> unread_keys() const {
     std::vector<std::string> keys;
     for (const auto& [key, value] : values_)
       if (!rows_.count(key)) keys.push_back(key);
@@ -77,38 +77,37 @@
   EXPECT_EQ(fields(*row->job), fields(expected)) << expected.id;
   EXPECT_EQ(row->prerequisite_chunks, 0u);
   EXPECT_EQ(row->has_prerequisites(), !expected.prerequisites.empty());
-  stored.expect_written_again(*row, codec::encode(*row->job, row->nonce));
+  stored.expect_reencoded_to(*row, codec::encode(*row->job, row->nonce));
 }
 
 // A job whose prerequisites are stored in separate values (prerequisite chunks).
-void expect_spread_job(StoredValueReader& stored, JobSpec expected) {
+void expect_chunked_job(StoredValueReader& stored, JobSpec expected) {
   const auto prerequisites = std::exchange(expected.prerequisites, {});
   const auto* row = stored.read(codec::job_key(expected.id));
   ASSERT_TRUE(row && row->job);
   EXPECT_EQ(fields(*row->job), fields(expected));
-  ASSERT_EQ(row->prerequisite_chunks, kPrerequisitePartsStored);
-  stored.expect_written_again(
+  ASSERT_EQ(row->prerequisite_chunks, kStoredPrerequisiteChunks);
+  stored.expect_reencoded_to(
       *row, codec::encode_with_chunks(*row->job, row->prerequisite_chunks, row->nonce));
-  const auto split = prerequisites.begin() + kIdsInFirstPart;
-  const std::vector<std::string> expected_parts[] = {{prerequisites.begin(), split},
-                                                     {split, prerequisites.end()}};
-  for (std::size_t partition = 0; partition < kPrerequisitePartsStored; ++partition) {
-    const auto* values = stored.read(codec::prerequisite_key(expected.id, row->nonce, partition));
+  const auto split = prerequisites.begin() + kIdsInFirstChunk;
+  const std::vector<std::string> expected_chunks[] = {{prerequisites.begin(), split},
+                                                      {split, prerequisites.end()}};
+  for (std::size_t chunk = 0; chunk < kStoredPrerequisiteChunks; ++chunk) {
+    const auto* values = stored.read(codec::prerequisite_key(expected.id, row->nonce, chunk));
     ASSERT_TRUE(values && values->prerequisites);
-    EXPECT_EQ(values->prerequisites->jobs, expected_parts[partition]);
-    stored.expect_written_again(*values, codec::encode(*values->prerequisites, values->nonce));
+    EXPECT_EQ(values->prerequisites->jobs, expected_chunks[chunk]);
+    stored.expect_reencoded_to(*values, codec::encode(*values->prerequisites, values->nonce));
     const auto key = codec::parse_prerequisite_key(values->key);
     ASSERT_TRUE(key);
-    EXPECT_EQ(std::tie(key->job, key->nonce, key->chunk),
-              std::tie(expected.id, row->nonce, partition));
+    EXPECT_EQ(std::tie(key->job, key->nonce, key->chunk), std::tie(expected.id, row->nonce, chunk));
   }
 }
 
 // Encodings of a progress value, which its `form`, `bits` and `roaring` fields distinguish.
-enum class ProgressText { bits, compact_bits, roaring };
+enum class ProgressEncoding { bits, compact_bits, roaring };
 
 void expect_progress(StoredValueReader& stored, int partition, const std::string& job,
-                     const codec::TaskRange& range, ProgressText text,
+                     const codec::TaskRange& range, ProgressEncoding text,
                      const std::vector<std::uint32_t>& all_done) {
   const auto* row = stored.read(codec::progress_key(partition, job, range));
   ASSERT_TRUE(row && row->progress) << job;
@@ -116,46 +115,48 @@
   std::copy_if(all_done.begin(), all_done.end(), std::back_inserter(expected),
                [&](auto task) { return task >= range.first && task - range.first < range.count; });
   EXPECT_EQ(row->progress->tasks, expected) << row->key;
-  const auto form = text == ProgressText::bits ? ProgressForm::bits : ProgressForm::compact;
+  const auto form = text == ProgressEncoding::bits ? ProgressForm::bits : ProgressForm::compact;
   EXPECT_EQ(row->progress->form, form) << row->key;
   const auto value =
       codec::encode_progress(row->progress->tasks, range, row->progress->form, row->nonce);
-  EXPECT_EQ(value.find("roaring") != std::string::npos, text == ProgressText::roaring) << value;
-  stored.expect_written_again(*row, value);
+  EXPECT_EQ(value.find("roaring") != std::string::npos, text == ProgressEncoding::roaring) << value;
+  stored.expect_reencoded_to(*row, value);
   EXPECT_EQ(codec::progress_key_job(row->key), job);
 }
 
 std::vector<std::uint32_t> done_tasks(const std::string& id) {
-  for (const auto& day : {jobs_of_first_day(), jobs_of_second_day()})
-    for (const StoredJob& job : day)
+  for (const auto& jobs_of_run : {jobs_of_first_run(), jobs_of_second_run()})
+    for (const StoredJob& job : jobs_of_run)
       if (job.spec.id == id) return job.done;
   return {};
 }
 
 // The done tasks of run-204 at the time when all of them still fitted into one value.
-std::vector<std::uint32_t> outgrown_tasks() {
+std::vector<std::uint32_t> tasks_of_outgrown_value() {
   auto tasks = done_tasks("run-204");
   std::erase_if(tasks, [](std::uint32_t task) { return task > 5604; });
   return tasks;
 }
 
 void expect_all_progress(StoredValueReader& stored) {
-  const codec::TaskRange chunk{0, constants::kProgressChunkTasks}, first{0, kFirstOfSecond},
-      second{kFirstOfSecond, kFirstOfSecond}, whole{0, constants::kMaxJobTasks, true};
+  const codec::TaskRange chunk{0, constants::kProgressChunkTasks}, first{0, kSecondValueFirstTask},
+      second{kSecondValueFirstTask, kSecondValueFirstTask}, whole{0, constants::kMaxJobTasks, true};
   auto expect = [&](int partition, const std::string& job, const codec::TaskRange& range,
                     auto text) {
     expect_progress(stored, partition, job, range, text, done_tasks(job));
   };
-  expect(0, "run-101", chunk, ProgressText::bits);
-  expect(1, "run-102", first, ProgressText::bits);
-  expect(1, "run-102", second, ProgressText::bits);
-  expect(0, "run-201", chunk, ProgressText::roaring);
-  expect(1, "run-202", chunk, ProgressText::compact_bits);
-  expect(2, "run-203", whole, ProgressText::roaring);
-  expect(1, "run-204", second, ProgressText::roaring);
-  expect(0, "run-205", whole, ProgressText::compact_bits);
-  expect_progress(stored, 1, "run-204", whole, ProgressText::compact_bits, outgrown_tasks());
-  expect_progress(stored, 1, done_job().id, kLeftOverRange, ProgressText::bits, left_over_tasks());
+  expect(0, "run-101", chunk, ProgressEncoding::bits);
+  expect(1, "run-102", first, ProgressEncoding::bits);
+  expect(1, "run-102", second, ProgressEncoding::bits);
+  expect(0, "run-201", chunk, ProgressEncoding::roaring);
+  expect(1, "run-202", chunk, ProgressEncoding::compact_bits);
+  expect(2, "run-203", whole, ProgressEncoding::roaring);
+  expect(1, "run-204", second, ProgressEncoding::roaring);
+  expect(0, "run-205", whole, ProgressEncoding::compact_bits);
+  expect_progress(stored, 1, "run-204", whole, ProgressEncoding::compact_bits,
+                  tasks_of_outgrown_value());
+  expect_progress(stored, 1, done_job().id, kLeftoverRange, ProgressEncoding::bits,
+                  leftover_tasks());
 }
 
 void expect_final(StoredValueReader& stored, const std::string& job, JobPhase phase, Ms at) {
@@ -163,7 +164,7 @@
   ASSERT_TRUE(row);
   EXPECT_EQ(row->final_phase, phase);
   EXPECT_EQ(row->final_at, at);
-  stored.expect_written_again(*row, codec::encode_final(phase, at, row->nonce));
+  stored.expect_reencoded_to(*row, codec::encode_final(phase, at, row->nonce));
 }
 
 void expect_machine(StoredValueReader& stored, const std::string& name,
@@ -171,7 +172,7 @@
   const auto* row = stored.read(codec::machine_key(name));
   ASSERT_TRUE(row && row->machine);
   EXPECT_EQ(fields(*row->machine), fields(expected)) << name;
-  stored.expect_written_again(*row, codec::encode(*row->machine, row->nonce));
+  stored.expect_reencoded_to(*row, codec::encode(*row->machine, row->nonce));
 }
 
 void expect_machines(StoredValueReader& stored) {
@@ -192,7 +193,7 @@
     ASSERT_TRUE(partition && partition->partition);
     EXPECT_EQ(std::tie(partition->partition->leader, partition->partition->lease_id),
               std::tie(name, lease_id));
-    stored.expect_written_again(*partition, codec::encode(*partition->partition, partition->nonce));
+    stored.expect_reencoded_to(*partition, codec::encode(*partition->partition, partition->nonce));
 
     const auto* node = stored.read(codec::node_key(name));
     ASSERT_TRUE(node && node->node);
@@ -207,7 +208,7 @@
       EXPECT_EQ(versions->acting, ClusterVersion::write_compact);
       EXPECT_EQ(versions->build, "test");
     }
-    stored.expect_written_again(*node, codec::encode(*node->node, node->nonce));
+    stored.expect_reencoded_to(*node, codec::encode(*node->node, node->nonce));
   }
 }
 
@@ -219,7 +220,7 @@
   EXPECT_EQ(row->version->at, 1024001);
   EXPECT_EQ(row->version->requested_by, "ops1");
   EXPECT_EQ(row->version->request_id, "request-3");
-  stored.expect_written_again(*row, codec::encode(*row->version, row->nonce));
+  stored.expect_reencoded_to(*row, codec::encode(*row->version, row->nonce));
 }
 
 void expect_history(StoredValueReader& stored) {
@@ -281,17 +282,18 @@
     ASSERT_TRUE(record);
     EXPECT_EQ(fields(*record), fields(expected));
     EXPECT_EQ(row->nonce, nonce);
-    stored.expect_written_again(*row, codec::encode(*record, row->nonce));
+    stored.expect_reencoded_to(*row, codec::encode(*record, row->nonce));
   }
 }
 
 TEST(StoredState, EveryValueRoundTrips) {
   StoredValueReader stored;
-  for (const auto& day : {jobs_of_first_day(), jobs_of_second_day()})
-    for (const StoredJob& job : day)
-      if (job.spec.id != waiting_for_many().spec.id) expect_job(stored, job.accepted_spec());
-  expect_job(stored, every_field_set());
-  expect_spread_job(stored, waiting_for_many().accepted_spec());
+  for (const auto& jobs_of_run : {jobs_of_first_run(), jobs_of_second_run()})
+    for (const StoredJob& job : jobs_of_run)
+      if (job.spec.id != job_with_many_prerequisites().spec.id)
+        expect_job(stored, job.accepted_spec());
+  expect_job(stored, job_with_every_field());
+  expect_chunked_job(stored, job_with_many_prerequisites().accepted_spec());
   expect_all_progress(stored);
   expect_final(stored, done_job().id, JobPhase::done, 1014470);
   expect_final(stored, cancelled_job().id, JobPhase::cancelled, 1020002);
@@ -299,7 +301,7 @@
   expect_controllers(stored);
   expect_version(stored);
   expect_history(stored);
-  EXPECT_EQ(stored.not_read(), std::vector<std::string>{});
+  EXPECT_EQ(stored.unread_keys(), std::vector<std::string>{});
 }
 
 }  // namespace
--- a/tests/upgrade/conversion_test.cc
+++ b/tests/upgrade/conversion_test.cc
@@ -14,12 +14,12 @@
 
 // ------------------------------------------------------------------------------------ encoding
 
-std::vector<std::uint32_t> some_tasks(std::uint32_t first, std::uint32_t count, double share,
-                                      std::uint64_t seed) {
+std::vector<std::uint32_t> random_tasks(std::uint32_t first, std::uint32_t count, double density,
+                                        std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::vector<std::uint32_t> tasks;
   for (std::uint32_t i = first; i < first + count; ++i)
-    if (std::bernoulli_distribution(share)(random)) tasks.push_back(i);
+    if (std::bernoulli_distribution(density)(random)) tasks.push_back(i);
   return tasks;
 }
 
@@ -31,9 +31,9 @@
 
 TEST(CompactProgress, RoundTrips) {
   for (const std::uint32_t first : {0u, 32768u}) {
-    for (const double share : {0.0, 0.001, 0.3, 0.99, 1.0}) {
+    for (const double density : {0.0, 0.001, 0.3, 0.99, 1.0}) {
       const codec::TaskRange range{first, 32768};
-      const auto tasks = some_tasks(first, range.count, share, 7);
+      const auto tasks = random_tasks(first, range.count, density, 7);
       const auto value = codec::encode_progress(tasks, range, ProgressForm::compact, "n0.b1.7");
       const auto row = read(codec::progress_key(0, "run-1", range), value);
       ASSERT_TRUE(row.progress) << value;
@@ -47,9 +47,9 @@
 // `form` field.
 TEST(CompactProgress, FallsBackToBitsWhereShorter) {
   for (const std::uint32_t count : {1u, 36u, 515u, 32768u}) {
-    for (const double share : {0.01, 0.5, 1.0}) {
+    for (const double density : {0.01, 0.5, 1.0}) {
       const codec::TaskRange range{0, 32768};
-      const auto tasks = some_tasks(0, count, share, count);
+      const auto tasks = random_tasks(0, count, density, count);
       const auto bits = codec::encode_progress(tasks, range, ProgressForm::bits, "n");
       const auto compact = codec::encode_progress(tasks, range, ProgressForm::compact, "n");
       EXPECT_LE(compact.size(), bits.size() + sizeof(",\"form\":2"));
@@ -79,7 +79,7 @@
 
 // A truncated bitmap is either rejected or decodes to no more tasks than a job may have.
 TEST(CompactProgress, TruncatedBitmapsAreHarmless) {
-  const auto tasks = some_tasks(0, 30000, 0.2, 3);
+  const auto tasks = random_tasks(0, 30000, 0.2, 3);
   const std::string text = codec::pack_roaring(tasks, 0);
   std::size_t refused = 0;
   for (std::size_t size = 0; size < text.size(); size += 97) {
@@ -99,7 +99,7 @@
   StoredJob(std::uint32_t tasks, std::size_t value_bytes)
       : done_(tasks, false), value_bytes_(value_bytes) {}
 
-  void end(const std::vector<std::uint32_t>& tasks) {
+  void mark_done(const std::vector<std::uint32_t>& tasks) {
     for (const auto task : tasks) done_[task] = true;
   }
   upgrade::ProgressOfJob view() const {
@@ -116,14 +116,15 @@
             },
             stored_};
   }
-  std::size_t record(const std::vector<std::uint32_t>& tasks, ProgressForm form, std::size_t most) {
-    end(tasks);
+  std::size_t record(const std::vector<std::uint32_t>& tasks, ProgressForm form,
+                     std::size_t max_changes) {
+    mark_done(tasks);
     std::vector<std::uint32_t> left = tasks;
     std::size_t changes = 0;
     while (!left.empty()) {
-      const auto batch = upgrade::batch_to_record(view(), left, form, most, "n0.b1.7");
+      const auto batch = upgrade::batch_to_record(view(), left, form, max_changes, "n0.b1.7");
       if (batch.empty()) break;
-      changes += carry_out(batch, most);
+      changes += apply_batch(batch, max_changes);
       std::erase_if(left, [&](std::uint32_t task) {
         return std::find(batch.recorded.begin(), batch.recorded.end(), task) !=
                batch.recorded.end();
@@ -131,12 +132,12 @@
     }
     return changes;
   }
-  std::size_t convert(ProgressForm to, std::size_t most) {
+  std::size_t convert(ProgressForm to, std::size_t max_changes) {
     std::size_t changes = 0;
     while (true) {
-      const auto batch = upgrade::batch_to_convert(view(), to, most, "n0.b1.7");
+      const auto batch = upgrade::batch_to_convert(view(), to, max_changes, "n0.b1.7");
       if (batch.empty()) return changes;
-      changes += carry_out(batch, most);
+      changes += apply_batch(batch, max_changes);
       EXPECT_EQ(stored_tasks(), done_tasks()) << "a batch lost recorded tasks";
     }
   }
@@ -149,20 +150,20 @@
     return {tasks.begin(), tasks.end()};
   }
   std::vector<std::uint32_t> done_tasks() const { return view().done(0, 1 << 20); }
-  std::size_t values_as(ProgressForm form) const {
+  std::size_t count_values(ProgressForm form) const {
     std::size_t n = 0;
     for (const auto& [key, stored] : stored_) n += !stored.unreadable && stored.form == form;
     return n;
   }
-  void put_unreadable(const std::string& key) {
+  void store_unreadable(const std::string& key) {
     values_[key] = "{}";
     stored_[key] = {5, ProgressForm::bits, true};
   }
   const std::map<std::string, std::string>& values() const { return values_; }
 
  private:
-  std::size_t carry_out(const upgrade::ProgressBatch& batch, std::size_t most) {
-    EXPECT_LE(batch.writes.size() + batch.deletes.size(), most);
+  std::size_t apply_batch(const upgrade::ProgressBatch& batch, std::size_t max_changes) {
+    EXPECT_LE(batch.writes.size() + batch.deletes.size(), max_changes);
     for (const auto& value : batch.writes) {
       EXPECT_LE(value.value.size(), value_bytes_);
       values_[value.key] = value.value;
@@ -182,28 +183,28 @@
   std::uint64_t revision_ = 0;
 };
 
-void expect_converts_there_and_back(std::uint32_t tasks, std::size_t value_bytes, double share,
-                                    std::size_t most) {
+void expect_converts_there_and_back(std::uint32_t tasks, std::size_t value_bytes, double density,
+                                    std::size_t max_changes) {
   StoredJob job(tasks, value_bytes);
-  const auto ended = some_tasks(0, tasks, share, tasks);
-  job.record(ended, ProgressForm::bits, most);
+  const auto ended = random_tasks(0, tasks, density, tasks);
+  job.record(ended, ProgressForm::bits, max_changes);
   EXPECT_EQ(job.stored_tasks(), ended);
-  job.convert(ProgressForm::compact, most);
-  EXPECT_EQ(job.values_as(ProgressForm::bits), 0u);
+  job.convert(ProgressForm::compact, max_changes);
+  EXPECT_EQ(job.count_values(ProgressForm::bits), 0u);
   EXPECT_EQ(job.stored_tasks(), ended);
-  job.convert(ProgressForm::bits, most);
-  EXPECT_EQ(job.values_as(ProgressForm::compact), 0u);
+  job.convert(ProgressForm::bits, max_changes);
+  EXPECT_EQ(job.count_values(ProgressForm::compact), 0u);
   EXPECT_EQ(job.stored_tasks(), ended);
 }
 
 TEST(ProgressPlan, ConvertsBothWaysAtAnySizeWithoutLoss) {
   for (const std::size_t value_bytes : {1024u, 2048u, 8192u})
     for (const std::uint32_t tasks : {1u, 500u, 12000u})
-      for (const double share : {0.05, 0.5, 1.0})
-        for (const std::size_t most : {1u, 2u, 16u})
-          expect_converts_there_and_back(tasks, value_bytes, share, most);
-  for (const double share : {0.05, 0.5, 1.0})
-    expect_converts_there_and_back(100000, 8192, share, 2);
+      for (const double density : {0.05, 0.5, 1.0})
+        for (const std::size_t max_changes : {1u, 2u, 16u})
+          expect_converts_there_and_back(tasks, value_bytes, density, max_changes);
+  for (const double density : {0.05, 0.5, 1.0})
+    expect_converts_there_and_back(100000, 8192, density, 2);
   expect_converts_there_and_back(100000, 1024, 0.5, 16);
 }
 
@@ -228,7 +229,7 @@
   StoredJob job(30000, 1024);
   job.record({0, 1, 2, 3}, ProgressForm::compact, 16);
   EXPECT_EQ(job.values().size(), 1u);
-  const auto scattered = some_tasks(4, 29000, 0.4, 11);
+  const auto scattered = random_tasks(4, 29000, 0.4, 11);
   job.record(scattered, ProgressForm::compact, 4);
   EXPECT_GT(job.values().size(), 4u);
   EXPECT_EQ(job.stored_tasks(), job.done_tasks());
@@ -241,14 +242,14 @@
 TEST(ProgressPlan, UnreadableValueIsLeftUnchanged) {
   for (const auto form : {ProgressForm::bits, ProgressForm::compact}) {
     StoredJob job(600, 8192);
-    job.put_unreadable("d/0/run-1/0");
+    job.store_unreadable("d/0/run-1/0");
     EXPECT_EQ(job.record({1, 2}, form, 16), 0u);
     EXPECT_EQ(job.convert(form, 16), 0u);
     EXPECT_EQ(job.values().at("d/0/run-1/0"), "{}");
   }
 }
 
-TEST(ConversionRate, KeepsToItsShare) {
+TEST(ConversionRate, StaysWithinItsLimit) {
   upgrade::ConversionRateLimiter rate_limiter(2);
   std::size_t changes = 0;
   for (Ms now = 1000; now < 101000; now += 50)
@@ -270,7 +271,7 @@
     return options;
   }
   // Long-running arrays, some of whose tasks finish early.
-  static void submit_lasting(SimulatedCluster& cluster, int jobs) {
+  static void submit_long_arrays(SimulatedCluster& cluster, int jobs) {
     for (int n = 0; n < jobs; ++n) {
       const char* team = std::array{"red", "blue", "gold"}[static_cast<std::size_t>(n % 3)];
       cluster.at(3 + 0.2 * n, [&cluster, n, team] {
@@ -286,33 +287,33 @@
   }
 };
 
-TEST_P(Conversion, RewritesStoredValuesWithinItsShareAndShowsWhatIsLeft) {
+TEST_P(Conversion, RewritesStoredValuesAtALimitedRateAndReportsTheRemainder) {
   Options options = seeded_options();
   options.upgrades->conversion_share = 0.1;
   UpgradeCluster cluster(options);
-  submit_lasting(cluster, 45);
+  submit_long_arrays(cluster, 45);
   cluster.advance_to(30, ClusterVersion::convert);
-  std::size_t left_at_first = 0;
+  std::size_t bits_values_at_start = 0;
   OperatorReply status;
-  cluster.at(36, [&] { left_at_first = cluster.progress_in_bits(); });
+  cluster.at(36, [&] { bits_values_at_start = cluster.progress_values_in_bits(); });
   cluster.at(46, [&] {
-    EXPECT_GT(cluster.progress_in_bits(), 0u) << "conversion must be rate limited";
-    EXPECT_LT(cluster.progress_in_bits(), left_at_first);
+    EXPECT_GT(cluster.progress_values_in_bits(), 0u) << "conversion must be rate limited";
+    EXPECT_LT(cluster.progress_values_in_bits(), bits_values_at_start);
     cluster.raw(1, "GET", "/upgrade/status", "", [&](int code, std::string body) {
       status = {code, std::move(body)};
     });
-    cluster.ask_now(0, Action::finalize);
+    cluster.request_step(0, Action::finalize);
   });
   cluster.run_until(70);
-  EXPECT_GT(left_at_first, 30u);
-  EXPECT_EQ(cluster.progress_in_bits(), 0u);
+  EXPECT_GT(bits_values_at_start, 30u);
+  EXPECT_EQ(cluster.progress_values_in_bits(), 0u);
   ASSERT_EQ(status.status, 200);
   EXPECT_TRUE(status.has("\"to\":\"compact\""));
   EXPECT_TRUE(status.has("\"unknown_partitions\":[]"));
   EXPECT_FALSE(status.has("\"left\":0,"));
   EXPECT_TRUE(cluster.replies().back().has("still stored as bits"))
       << cluster.replies().back().body;
-  cluster.ask_now(0, Action::finalize);
+  cluster.request_step(0, Action::finalize);
   cluster.run_until(160);
   EXPECT_EQ(cluster.cluster_version(), 4u);
   expect_all_done(cluster, 45);
@@ -322,7 +323,7 @@
 // Leaders fail, jobs finish and jobs are cancelled while the conversion is in progress.
 TEST_P(Conversion, ContinuesThroughFailoversCompletionsAndCancellations) {
   UpgradeCluster cluster(seeded_options());
-  submit_lasting(cluster, 30);
+  submit_long_arrays(cluster, 30);
   submit_arrays(cluster, {5, 70, 2});
   cluster.advance_to(30, ClusterVersion::convert);
   for (int n = 0; n < 30; n += 4)
@@ -331,8 +332,8 @@
   cluster.at(43, [&] { cluster.freeze(cluster.leader_of(1), 8); });
   cluster.at(52, [&] { cluster.crash(cluster.leader_of(2), 0.5); });
   cluster.run_until(75);
-  EXPECT_EQ(cluster.progress_in_bits(), 0u);
-  cluster.ask_now(1, Action::finalize);
+  EXPECT_EQ(cluster.progress_values_in_bits(), 0u);
+  cluster.request_step(1, Action::finalize);
   cluster.run_until(190);
   EXPECT_EQ(cluster.cluster_version(), 4u) << cluster.replies().back().body;
   expect_arrays_ended_and_rules_kept(cluster, {5, 70, 2});
@@ -353,7 +354,7 @@
   cluster.store(stored[0], value);
   cluster.crash(cluster.leader_of(1), 6);
   cluster.advance_to(35, ClusterVersion::convert);
-  cluster.ask(55, 0, Action::finalize);
+  cluster.request_step_at(55, 0, Action::finalize);
   cluster.run_until(58);
   ASSERT_EQ(cluster.replies().size(), 3u);
   EXPECT_EQ(cluster.replies().back().status, 409);
--- a/tests/upgrade/maintenance_window_test.cc
+++ b/tests/upgrade/maintenance_window_test.cc
@@ -56,35 +56,38 @@
 
 // Berlin, 2026-03-29: at 02:00 (01:00 UTC) the clocks go forward to 03:00.
 TEST(MaintenanceWindow, SkipsTheMissingHourWhenDaylightSavingBegins) {
-  const auto over = window("Europe/Berlin", "sun", "01:30", "03:30");
-  EXPECT_FALSE(over.contains(utc(2026, 3, 29, 0, 29)));
-  EXPECT_TRUE(over.contains(utc(2026, 3, 29, 0, 30)));
-  EXPECT_TRUE(over.contains(utc(2026, 3, 29, 1, 29)));
-  EXPECT_FALSE(over.contains(utc(2026, 3, 29, 1, 30)));  // one hour shorter than in local time
-
-  const auto from_inside = window("Europe/Berlin", "sun", "02:30", "03:30");
-  EXPECT_FALSE(from_inside.contains(utc(2026, 3, 29, 0, 59)));
-  EXPECT_TRUE(from_inside.contains(utc(2026, 3, 29, 1, 0)));
-  EXPECT_FALSE(from_inside.contains(utc(2026, 3, 29, 1, 30)));
-
-  const auto inside = window("Europe/Berlin", "sun", "02:10", "02:50");
+  const auto spanning_change = window("Europe/Berlin", "sun", "01:30", "03:30");
+  EXPECT_FALSE(spanning_change.contains(utc(2026, 3, 29, 0, 29)));
+  EXPECT_TRUE(spanning_change.contains(utc(2026, 3, 29, 0, 30)));
+  EXPECT_TRUE(spanning_change.contains(utc(2026, 3, 29, 1, 29)));
+  EXPECT_FALSE(
+      spanning_change.contains(utc(2026, 3, 29, 1, 30)));  // one hour shorter than in local time
+
+  const auto from_missing_hour = window("Europe/Berlin", "sun", "02:30", "03:30");
+  EXPECT_FALSE(from_missing_hour.contains(utc(2026, 3, 29, 0, 59)));
+  EXPECT_TRUE(from_missing_hour.contains(utc(2026, 3, 29, 1, 0)));
+  EXPECT_FALSE(from_missing_hour.contains(utc(2026, 3, 29, 1, 30)));
+
+  const auto within_changed_hour = window("Europe/Berlin", "sun", "02:10", "02:50");
   for (int minute = 0; minute < 180; ++minute)
-    EXPECT_FALSE(inside.contains(utc(2026, 3, 29, 0, 0) + minute * 60000)) << minute;
+    EXPECT_FALSE(within_changed_hour.contains(utc(2026, 3, 29, 0, 0) + minute * 60000)) << minute;
 }
 
 // Berlin, 2026-10-25: at 03:00 (01:00 UTC) the clocks go back to 02:00.
 TEST(MaintenanceWindow, TakesTheFirstRepeatedHourWhenDaylightSavingEnds) {
-  const auto over = window("Europe/Berlin", "sun", "01:30", "03:30");
-  EXPECT_FALSE(over.contains(utc(2026, 10, 24, 23, 29)));
-  EXPECT_TRUE(over.contains(utc(2026, 10, 24, 23, 30)));
-  EXPECT_TRUE(over.contains(utc(2026, 10, 25, 2, 29)));  // one hour longer than in local time
-  EXPECT_FALSE(over.contains(utc(2026, 10, 25, 2, 30)));
-
-  const auto inside = window("Europe/Berlin", "sun", "02:10", "02:50");
-  EXPECT_FALSE(inside.contains(utc(2026, 10, 25, 0, 9)));
-  EXPECT_TRUE(inside.contains(utc(2026, 10, 25, 0, 10)));
-  EXPECT_FALSE(inside.contains(utc(2026, 10, 25, 0, 50)));
-  EXPECT_FALSE(inside.contains(utc(2026, 10, 25, 1, 30)));  // 02:30 for the second time
+  const auto spanning_change = window("Europe/Berlin", "sun", "01:30", "03:30");
+  EXPECT_FALSE(spanning_change.contains(utc(2026, 10, 24, 23, 29)));
+  EXPECT_TRUE(spanning_change.contains(utc(2026, 10, 24, 23, 30)));
+  EXPECT_TRUE(
+      spanning_change.contains(utc(2026, 10, 25, 2, 29)));  // one hour longer than in local time
+  EXPECT_FALSE(spanning_change.contains(utc(2026, 10, 25, 2, 30)));
+
+  const auto within_changed_hour = window("Europe/Berlin", "sun", "02:10", "02:50");
+  EXPECT_FALSE(within_changed_hour.contains(utc(2026, 10, 25, 0, 9)));
+  EXPECT_TRUE(within_changed_hour.contains(utc(2026, 10, 25, 0, 10)));
+  EXPECT_FALSE(within_changed_hour.contains(utc(2026, 10, 25, 0, 50)));
+  EXPECT_FALSE(
+      within_changed_hour.contains(utc(2026, 10, 25, 1, 30)));  // 02:30 for the second time
 }
 
 TEST(MaintenanceWindow, EmptySetContainsNothing) {
--- a/tests/upgrade/plan_test.cc
+++ b/tests/upgrade/plan_test.cc
@@ -10,22 +10,23 @@
 
 namespace {
 
-ControllerState acting(const std::string& name, ClusterVersion version, VersionRange range = {}) {
+ControllerState active_controller(const std::string& name, ClusterVersion version,
+                                  VersionRange range = {}) {
   return {name, true, 7, BuildVersions{range, version, "test"}};
 }
 
 ClusterState at(ClusterVersion version) { return {version, 5}; }
 
-bool names(const StepPlan& plan, const std::string& controller) {
+bool has_obstacle_of(const StepPlan& plan, const std::string& controller) {
   for (const auto& obstacle : plan.obstacles)
     if (obstacle.controller == controller) return true;
   return false;
 }
 
 TEST(StepPlan, AdvancesOneStepWhenAllHaveAcknowledged) {
-  const auto plan =
-      plan_step({Action::advance, {}}, at(ClusterVersion::base),
-                {acting("n0", ClusterVersion::base), acting("n1", ClusterVersion::base)});
+  const auto plan = plan_step({Action::advance, {}}, at(ClusterVersion::base),
+                              {active_controller("n0", ClusterVersion::base),
+                               active_controller("n1", ClusterVersion::base)});
   EXPECT_TRUE(plan.possible());
   EXPECT_EQ(plan.to, ClusterVersion::write_compact);
   EXPECT_FALSE(plan.needs_census);
@@ -34,38 +35,41 @@
 TEST(StepPlan, NamesEachBlockingController) {
   const ControllerState away{"n1", true, 0, std::nullopt};
   const ControllerState earlier{"n2", true, 7, std::nullopt};
-  const auto plan = plan_step({Action::advance, {}}, at(ClusterVersion::write_compact),
-                              {acting("n0", ClusterVersion::write_compact), away, earlier,
-                               acting("n3", ClusterVersion::base),
-                               acting("n4", ClusterVersion::write_compact,
-                                      {ClusterVersion::base, ClusterVersion::write_compact})});
+  const auto plan =
+      plan_step({Action::advance, {}}, at(ClusterVersion::write_compact),
+                {active_controller("n0", ClusterVersion::write_compact), away, earlier,
+                 active_controller("n3", ClusterVersion::base),
+                 active_controller("n4", ClusterVersion::write_compact,
+                                   {ClusterVersion::base, ClusterVersion::write_compact})});
   EXPECT_FALSE(plan.possible());
-  EXPECT_FALSE(names(plan, "n0"));
-  for (const char* name : {"n1", "n2", "n3", "n4"}) EXPECT_TRUE(names(plan, name)) << name;
+  EXPECT_FALSE(has_obstacle_of(plan, "n0"));
+  for (const char* name : {"n1", "n2", "n3", "n4"})
+    EXPECT_TRUE(has_obstacle_of(plan, name)) << name;
 }
 
 TEST(StepPlan, ExcludesOnlyAbsentConfiguredControllers) {
   const ControllerState away{"n1", true, 0, std::nullopt};
-  const std::vector<ControllerState> controllers = {acting("n0", ClusterVersion::base), away};
+  const std::vector<ControllerState> controllers = {active_controller("n0", ClusterVersion::base),
+                                                    away};
   EXPECT_TRUE(
       plan_step({Action::advance, {"n1"}}, at(ClusterVersion::base), controllers).possible());
-  EXPECT_TRUE(names(
+  EXPECT_TRUE(has_obstacle_of(
       plan_step({Action::advance, {"n0", "n1"}}, at(ClusterVersion::base), controllers), "n0"));
-  EXPECT_TRUE(names(
+  EXPECT_TRUE(has_obstacle_of(
       plan_step({Action::advance, {"n1", "n9"}}, at(ClusterVersion::base), controllers), "n9"));
 }
 
 TEST(StepPlan, AbortsDuringAStepAndWithoutAbsentControllers) {
   const ControllerState away{"n2", true, 0, std::nullopt};
   EXPECT_TRUE(plan_step({Action::abort, {}}, at(ClusterVersion::convert),
-                        {acting("n0", ClusterVersion::convert),
-                         acting("n1", ClusterVersion::write_compact), away})
+                        {active_controller("n0", ClusterVersion::convert),
+                         active_controller("n1", ClusterVersion::write_compact), away})
                   .possible());
   // A controller that still acts under the version above would be two steps away from the target.
-  EXPECT_TRUE(names(plan_step({Action::abort, {}}, at(ClusterVersion::write_compact),
-                              {acting("n0", ClusterVersion::write_compact),
-                               acting("n1", ClusterVersion::convert)}),
-                    "n1"));
+  EXPECT_TRUE(has_obstacle_of(plan_step({Action::abort, {}}, at(ClusterVersion::write_compact),
+                                        {active_controller("n0", ClusterVersion::write_compact),
+                                         active_controller("n1", ClusterVersion::convert)}),
+                              "n1"));
 }
 
 TEST(StepPlan, HasNoStepBeyondTheFirstAndLastVersions) {
@@ -80,7 +84,7 @@
 
 TEST(StepPlan, FinalizesOnlyWhenNothingIsLeftToConvert) {
   auto plan = plan_step({Action::finalize, {}}, at(ClusterVersion::convert),
-                        {acting("n0", ClusterVersion::convert)});
+                        {active_controller("n0", ClusterVersion::convert)});
   EXPECT_TRUE(plan.needs_census);
   EXPECT_TRUE(plan.possible());
   add_census_obstacles(plan, {0, 12, {}});
--- a/tests/upgrade/random_upgrades_test.cc
+++ b/tests/upgrade/random_upgrades_test.cc
@@ -14,47 +14,47 @@
 
 namespace {
 
-constexpr double kBegins = 15, kFaultsEnd = 120, kDayEnds = 230;
+constexpr double kFirstEventS = 15, kFaultsEndS = 120, kRunEndS = 230;
 
 class RandomUpgrade {
  public:
   explicit RandomUpgrade(std::uint64_t number)
       : random_(number * 6151), cluster_(upgrade_options(number)) {
     submit_arrays(cluster_, {3, 125, 2.5});
-    for (double time_s = kBegins; time_s < kFaultsEnd; time_s += number_in(1, 6))
-      add_request(time_s);
-    for (double time_s = kBegins; time_s < kFaultsEnd - 20; time_s += number_in(4, 14))
-      add_fault(time_s);
-    cluster_.at(kFaultsEnd, [this] { end_faults(); });
+    for (double time_s = kFirstEventS; time_s < kFaultsEndS; time_s += random_between(1, 6))
+      schedule_request(time_s);
+    for (double time_s = kFirstEventS; time_s < kFaultsEndS - 20; time_s += random_between(4, 14))
+      schedule_fault(time_s);
+    cluster_.at(kFaultsEndS, [this] { end_faults(); });
   }
 
   UpgradeCluster& cluster() { return cluster_; }
-  void play() { cluster_.run_until(kDayEnds); }
+  void run_to_end() { cluster_.run_until(kRunEndS); }
 
  private:
-  double number_in(double least, double most) {
-    return std::uniform_real_distribution<double>(least, most)(random_);
+  double random_between(double lower, double upper) {
+    return std::uniform_real_distribution<double>(lower, upper)(random_);
   }
   int pick(int count) { return std::uniform_int_distribution<int>(0, count - 1)(random_); }
 
   // Half of the requests are `advance`; half exclude the controllers that have no node record at
   // that moment.
-  void add_request(double time_s) {
+  void schedule_request(double time_s) {
     const Action action = std::array{Action::advance, Action::advance, Action::abort,
                                      Action::finalize}[static_cast<std::size_t>(pick(4))];
     const int node = pick(3);
-    const bool leave_out = pick(2) == 0;
-    cluster_.at(time_s, [this, node, action, leave_out] {
+    const bool exclude_absent = pick(2) == 0;
+    cluster_.at(time_s, [this, node, action, exclude_absent] {
       std::set<std::string> without;
-      for (int n = 0; n < 3 && leave_out; ++n)
+      for (int n = 0; n < 3 && exclude_absent; ++n)
         if (cluster_.acting(n) == 0) without.insert("n" + std::to_string(n));
-      cluster_.ask_now(node, action, without);
+      cluster_.request_step(node, action, without);
     });
   }
 
-  void add_fault(double time_s) {
+  void schedule_fault(double time_s) {
     const int node = pick(3);
-    const double for_s = number_in(0.05, 15);
+    const double for_s = random_between(0.05, 15);
     const std::string name = "n" + std::to_string(node);
     switch (pick(8)) {
       case 0:
@@ -101,19 +101,19 @@
   UpgradeCluster cluster_;
 };
 
-std::pair<int, int> days() {
+std::pair<int, int> selected_upgrades() {
   int first = 1, last = 10;
-  if (const char* asked = std::getenv("EIDERREEL_UPGRADES"))
-    std::sscanf(asked, "%d-%d", &first, &last);
+  if (const char* range_text = std::getenv("EIDERREEL_UPGRADES"))
+    std::sscanf(range_text, "%d-%d", &first, &last);
   return {first, last};
 }
 
 TEST(RandomUpgrades, ViolateNoRule) {
-  const auto [first, last] = days();
+  const auto [first, last] = selected_upgrades();
   std::size_t steps = 0, compact = 0;
   for (int number = first; number <= last; ++number) {
     RandomUpgrade day(static_cast<std::uint64_t>(number));
-    day.play();
+    day.run_to_end();
     UpgradeCluster& cluster = day.cluster();
     const std::string name = "upgrade day " + std::to_string(number);
     if (std::getenv("EIDERREEL_TRACE"))
--- a/tests/upgrade/rolling_upgrade_faults_test.cc
+++ b/tests/upgrade/rolling_upgrade_faults_test.cc
@@ -15,7 +15,7 @@
     for (int ms = 0; ms <= 24; ms += 3) {
       UpgradeCluster cluster(seeded_options());
       submit_arrays(cluster, {5, 30});
-      cluster.at(15, [&] { cluster.ask_now(0, Action::advance, {}, "the-step"); });
+      cluster.at(15, [&] { cluster.request_step(0, Action::advance, {}, "the-step"); });
       cluster.at(15 + ms / 1000.0, [&] {
         if (frozen)
           cluster.freeze(0, 9);
@@ -23,12 +23,13 @@
           cluster.crash(0, 3);
       });
       // The same request sent to another controller finds the step that it has already taken.
-      std::uint64_t landed = 0;
-      cluster.at(17, [&] { landed = cluster.cluster_version(); });
-      cluster.at(40, [&] { cluster.ask_now(1, Action::advance, {}, "the-step"); });
+      std::uint64_t version_at_17_s = 0;
+      cluster.at(17, [&] { version_at_17_s = cluster.cluster_version(); });
+      cluster.at(40, [&] { cluster.request_step(1, Action::advance, {}, "the-step"); });
       cluster.run_until(90);
       EXPECT_EQ(cluster.cluster_version(), 2u) << ms;
-      EXPECT_EQ(cluster.reply_to("the-step").status, 200) << ms << " landed at first: " << landed;
+      EXPECT_EQ(cluster.reply_to("the-step").status, 200)
+          << ms << " landed at first: " << version_at_17_s;
       expect_arrays_ended_and_rules_kept(cluster, {5, 30}, std::to_string(ms));
     }
   }
@@ -40,7 +41,7 @@
       UpgradeCluster cluster(seeded_options());
       submit_arrays(cluster, {5, 40});
       cluster.advance_to(10, ClusterVersion::write_compact);
-      cluster.ask(18, 0, Action::advance);
+      cluster.request_step_at(18, 0, Action::advance);
       cluster.at(18 + ms / 1000.0, [&] {
         if (frozen)
           cluster.freeze(1, 9);
@@ -56,19 +57,19 @@
 }
 
 TEST_P(RollingUpgradeFaults, StateStoreRejectsOneControllerDuringAStep) {
-  for (int refused = 0; refused < 2; ++refused) {
+  for (int rejected_node = 0; rejected_node < 2; ++rejected_node) {
     UpgradeCluster cluster(seeded_options());
     submit_arrays(cluster, {5, 50});
     cluster.advance_to(10, ClusterVersion::write_compact);
-    cluster.at(19.99, [&] { cluster.state_refuses(refused, true); });
-    cluster.ask(20, 0, Action::advance);
-    cluster.at(35, [&] { cluster.state_refuses(refused, false); });
-    cluster.ask(50, 0, Action::advance);
+    cluster.at(19.99, [&] { cluster.state_refuses(rejected_node, true); });
+    cluster.request_step_at(20, 0, Action::advance);
+    cluster.at(35, [&] { cluster.state_refuses(rejected_node, false); });
+    cluster.request_step_at(50, 0, Action::advance);
     cluster.run_until(120);
     ASSERT_GE(cluster.replies().size(), 2u);
-    EXPECT_EQ(cluster.replies()[1].status, refused == 0 ? 503 : 200);
+    EXPECT_EQ(cluster.replies()[1].status, rejected_node == 0 ? 503 : 200);
     EXPECT_EQ(cluster.cluster_version(), 3u);
-    EXPECT_EQ(cluster.acting(refused), 3u);
+    EXPECT_EQ(cluster.acting(rejected_node), 3u);
     expect_arrays_ended_and_rules_kept(cluster, {5, 50});
   }
 }
@@ -77,14 +78,14 @@
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 50});
   cluster.advance_to(10, ClusterVersion::write_compact);
-  cluster.ask(19.995, 0, Action::advance);
+  cluster.request_step_at(19.995, 0, Action::advance);
   cluster.at(20, [&] { cluster.state_outage(true); });
   cluster.at(32, [&] { cluster.state_outage(false); });
-  double told_at = 0;
-  cluster.at(30, [&] { told_at = cluster.replies().size() == 2 ? 1 : 0; });
+  double reply_received = 0;
+  cluster.at(30, [&] { reply_received = cluster.replies().size() == 2 ? 1 : 0; });
   cluster.run_until(40);
-  EXPECT_EQ(told_at, 1) << "the operator must get a reply within a bounded time";
-  if (cluster.cluster_version() == 2) cluster.ask_now(1, Action::advance);
+  EXPECT_EQ(reply_received, 1) << "the operator must get a reply within a bounded time";
+  if (cluster.cluster_version() == 2) cluster.request_step(1, Action::advance);
   cluster.run_until(120);
   EXPECT_EQ(cluster.cluster_version(), 3u);
   expect_arrays_ended_and_rules_kept(cluster, {5, 50});
@@ -96,7 +97,7 @@
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 50});
   cluster.at(19.9, [&] { cluster.late_writes({1, 2, 12}); });
-  cluster.at(20, [&] { cluster.ask_now(0, Action::advance, {}, "late"); });
+  cluster.at(20, [&] { cluster.request_step(0, Action::advance, {}, "late"); });
   OperatorReply status;
   cluster.at(30, [&] {
     EXPECT_EQ(cluster.reply_to("late").status, 504);
@@ -121,7 +122,7 @@
   submit_arrays(cluster, {5, 80, 1.5});
   cluster.at(8, [&] { cluster.late_writes({0.25, 2, 12}); });
   for (int n = 0; n < 14; ++n)
-    cluster.ask(12 + 5.0 * n, n % 3, n % 4 < 2 ? Action::advance : Action::abort);
+    cluster.request_step_at(12 + 5.0 * n, n % 3, n % 4 < 2 ? Action::advance : Action::abort);
   cluster.at(85, [&] { cluster.late_writes({}); });
   cluster.run_until(190);
   EXPECT_GT(cluster.landed_late(), 0u);
--- a/tests/upgrade/rolling_upgrade_restarts_test.cc
+++ b/tests/upgrade/rolling_upgrade_restarts_test.cc
@@ -13,15 +13,16 @@
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 50});
   cluster.at(10, [&] { cluster.crash(2, 30); });
-  cluster.ask(20, 0, Action::advance);
+  cluster.request_step_at(20, 0, Action::advance);
   cluster.at(21, [&] {
     EXPECT_EQ(cluster.cluster_version(), 1u);
     ASSERT_EQ(cluster.replies().size(), 1u);
     EXPECT_EQ(cluster.replies().back().status, 409);
     EXPECT_TRUE(cluster.replies().back().has("\"controller\":\"n2\""));
   });
-  cluster.ask(22, 0, Action::advance, {"n2"});
-  cluster.ask(28, 0, Action::advance, {"n1"});  // n1 is running, so it cannot be excluded
+  cluster.request_step_at(22, 0, Action::advance, {"n2"});
+  cluster.request_step_at(28, 0, Action::advance,
+                          {"n1"});  // n1 is running, so it cannot be excluded
   cluster.run_until(30);
   EXPECT_EQ(cluster.cluster_version(), 2u);
   EXPECT_TRUE(cluster.replies().back().has("is running"));
@@ -40,8 +41,8 @@
     cluster.late_writes({1, 2.2, 2.4});
   });  // delays the writes of the other controllers too
   cluster.at(22.3, [&] { cluster.late_writes({}); });
-  cluster.ask(22.5, 0, Action::advance, {"n1"});
-  cluster.ask(23.2, 0, Action::advance, {"n1"});
+  cluster.request_step_at(22.5, 0, Action::advance, {"n1"});
+  cluster.request_step_at(23.2, 0, Action::advance, {"n1"});
   cluster.run_until(23.6);
   EXPECT_EQ(cluster.cluster_version(), 3u) << cluster.replies().back().body;
   EXPECT_EQ(cluster.acting(1), 0u) << "the record must not be committed yet";
@@ -55,15 +56,15 @@
 TEST_P(RollingUpgradeRestarts, PausedControllerWritesNothingUnderASupersededVersion) {
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {2, 60, 1});
-  const double frozen_at = 20 + 0.137 * static_cast<double>(GetParam());
-  cluster.at(frozen_at - 3, [&] { cluster.late_writes({0.3, 2, 30}); });
-  cluster.at(frozen_at, [&] {
+  const double freeze_at_s = 20 + 0.137 * static_cast<double>(GetParam());
+  cluster.at(freeze_at_s - 3, [&] { cluster.late_writes({0.3, 2, 30}); });
+  cluster.at(freeze_at_s, [&] {
     cluster.late_writes({});
     cluster.freeze(1, 25);
   });
-  cluster.ask(frozen_at + 8, 0, Action::advance, {"n1"});
-  cluster.ask(frozen_at + 14, 0, Action::advance, {"n1"});
-  cluster.run_until(frozen_at + 22);
+  cluster.request_step_at(freeze_at_s + 8, 0, Action::advance, {"n1"});
+  cluster.request_step_at(freeze_at_s + 14, 0, Action::advance, {"n1"});
+  cluster.run_until(freeze_at_s + 22);
   EXPECT_EQ(cluster.cluster_version(), 3u);
   cluster.run_until(150);
   EXPECT_EQ(cluster.acting(1), 3u);
@@ -91,9 +92,9 @@
     EXPECT_EQ(ready.status, 503);
     EXPECT_TRUE(status.has("this build knows 1 to 1")) << status.body;
     cluster.run_until(70);
-    cluster.ask_now(0, Action::abort);
+    cluster.request_step(0, Action::abort);
     cluster.run_until(76);
-    if (version == ClusterVersion::convert) cluster.ask_now(0, Action::abort);
+    if (version == ClusterVersion::convert) cluster.request_step(0, Action::abort);
     cluster.run_until(150);
     EXPECT_EQ(cluster.cluster_version(), 1u);
     EXPECT_EQ(cluster.acting(1), 1u) << "n1 must act again";
@@ -102,7 +103,7 @@
   }
 }
 
-TEST_P(RollingUpgradeRestarts, RestartWithAnOlderBuildAfterTheFinalStepStandsByForGood) {
+TEST_P(RollingUpgradeRestarts, RestartWithAnOlderBuildAfterTheFinalStepStandsByPermanently) {
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 60});
   cluster.advance_to(10, ClusterVersion::compact_only);
@@ -122,9 +123,9 @@
   for (const double offset : {-0.3, -0.05, -0.01, 0.0, 0.004, 0.01, 0.05}) {
     UpgradeCluster cluster(seeded_options());
     submit_arrays(cluster, {5, 30});
-    cluster.ask(10, 0, Action::advance);
+    cluster.request_step_at(10, 0, Action::advance);
     cluster.at(18, [&] { cluster.state_slow(0.4); });
-    cluster.ask(20, 0, Action::advance);
+    cluster.request_step_at(20, 0, Action::advance);
     cluster.at(20 + offset, [&] { cluster.install(2, ClusterVersion::base, 0.05); });
     cluster.at(24, [&] { cluster.state_slow(0); });
     cluster.run_until(90);
@@ -142,7 +143,7 @@
   submit_arrays(cluster, {5, 60});
   cluster.at(12, [&] { cluster.upgrade(0, 1); });
   cluster.at(20, [&] { cluster.upgrade(1, 1); });
-  cluster.ask(26, 0, Action::advance);
+  cluster.request_step_at(26, 0, Action::advance);
   cluster.at(27, [&] {
     ASSERT_EQ(cluster.replies().size(), 1u);
     EXPECT_TRUE(cluster.replies()[0].has("from before cluster versions"));
@@ -150,9 +151,9 @@
   });
   cluster.at(30, [&] { cluster.upgrade(2, 1); });
   cluster.advance_to(38, ClusterVersion::convert);
-  cluster.at(52, [&] { cluster.downgrade(2, 1); });  // against the rules of an upgrade
+  cluster.at(52, [&] { cluster.downgrade(2, 1); });  // not permitted once a step has been taken
   cluster.run_until(70);
-  cluster.ask_now(0, Action::finalize);
+  cluster.request_step(0, Action::finalize);
   cluster.at(75, [&] { cluster.upgrade(2, 1); });
   cluster.run_until(150);
   EXPECT_EQ(cluster.replies().back().status, 409);
--- a/tests/upgrade/rolling_upgrade_test.cc
+++ b/tests/upgrade/rolling_upgrade_test.cc
@@ -1,4 +1,4 @@
-// Steps of the cluster version forward and back while jobs run, asked for by operators or taken
+// Steps of the cluster version forward and back while jobs run, requested by operators or taken
 // automatically.
 #include "upgrade/rolling_upgrade.h"
 
@@ -11,10 +11,10 @@
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 70});
   cluster.advance_to(20, ClusterVersion::convert);
-  cluster.ask(60, 1, Action::finalize);
+  cluster.request_step_at(60, 1, Action::finalize);
   cluster.run_until(62);
   EXPECT_EQ(cluster.cluster_version(), 4u) << cluster.replies().back().body;
-  EXPECT_EQ(cluster.progress_in_bits(), 0u);
+  EXPECT_EQ(cluster.progress_values_in_bits(), 0u);
   cluster.run_until(140);
   for (int node = 0; node < 3; ++node) EXPECT_EQ(cluster.acting(node), 4u);
   EXPECT_GT(cluster.versions().progress_written(false), 0u);
@@ -26,7 +26,7 @@
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 30});
   cluster.advance_to(10, ClusterVersion::compact_only);
-  cluster.ask(60, 0, Action::abort);
+  cluster.request_step_at(60, 0, Action::abort);
   cluster.run_until(100);
   EXPECT_EQ(cluster.cluster_version(), 4u);
   EXPECT_EQ(cluster.replies().back().status, 409);
@@ -37,8 +37,8 @@
 TEST_P(RollingUpgrade, StepIsRejectedUntilThePreviousOneIsAcknowledged) {
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 30});
-  cluster.ask(10, 0, Action::advance);
-  cluster.ask(10.02, 0, Action::advance);  // none can have acknowledged by now
+  cluster.request_step_at(10, 0, Action::advance);
+  cluster.request_step_at(10.02, 0, Action::advance);  // too early for any acknowledgement
   cluster.run_until(60);
   ASSERT_EQ(cluster.replies().size(), 2u);
   EXPECT_EQ(cluster.replies_with(200), 1u);
@@ -47,7 +47,8 @@
   expect_rules_kept(cluster);
 }
 
-// Abandoned at each step; the builds from before cluster versions then go on with all jobs.
+// The upgrade is aborted at each version; builds that predate cluster versions then continue all
+// jobs.
 TEST_P(RollingUpgrade, RollsBackFromEachStepToEarlierBuilds) {
   for (const auto top : {ClusterVersion::write_compact, ClusterVersion::convert}) {
     UpgradeCluster cluster(seeded_options());
@@ -55,10 +56,11 @@
     cluster.advance_to(12, top);
     double time_s = 30;
     for (std::uint32_t v = upgrade::number(top); v > 1; --v, time_s += 6)
-      cluster.ask(time_s, 2, Action::abort);
+      cluster.request_step_at(time_s, 2, Action::abort);
     cluster.run_until(58);
     EXPECT_EQ(cluster.cluster_version(), 1u);
-    EXPECT_EQ(cluster.progress_with("\"form\":2"), 0u) << "no value may stay in the compact form";
+    EXPECT_EQ(cluster.progress_values_containing("\"form\":2"), 0u)
+        << "no value may stay in the compact form";
     for (int node = 0; node < 3; ++node)
       cluster.at(60 + 5 * node, [&cluster, node] { cluster.downgrade(node, 1); });
     cluster.run_until(150);
@@ -69,10 +71,10 @@
 TEST_P(RollingUpgrade, AbortsDuringAStep) {
   UpgradeCluster cluster(seeded_options());
   submit_arrays(cluster, {5, 40});
-  cluster.ask(10, 0, Action::advance);
+  cluster.request_step_at(10, 0, Action::advance);
   cluster.at(15, [&] { cluster.freeze(1, 3); });  // shorter than its lease, so it acknowledges late
-  cluster.ask(15.2, 0, Action::advance);
-  cluster.ask(16, 2, Action::abort);
+  cluster.request_step_at(15.2, 0, Action::advance);
+  cluster.request_step_at(16, 2, Action::abort);
   cluster.run_until(110);
   ASSERT_EQ(cluster.replies().size(), 3u);
   EXPECT_EQ(cluster.replies_with(200), 3u);
@@ -85,12 +87,12 @@
   submit_arrays(cluster, {5, 40});
   cluster.advance_to(10, ClusterVersion::write_compact);
   cluster.at(20, [&] {
-    cluster.ask_now(0, Action::advance);
-    cluster.ask_now(1, Action::abort);
+    cluster.request_step(0, Action::advance);
+    cluster.request_step(1, Action::abort);
   });
   cluster.run_until(100);
   ASSERT_EQ(cluster.replies().size(), 3u);
-  EXPECT_EQ(cluster.replies_with(200), 2u) << "the first step, and one of the two";
+  EXPECT_EQ(cluster.replies_with(200), 2u) << "the first step and one of the two concurrent ones";
   EXPECT_EQ(cluster.versions().versions().size(), 3u);
   expect_arrays_ended_and_rules_kept(cluster, {5, 40});
 }
@@ -110,7 +112,7 @@
   submit_arrays(cluster, {5, 40});
   cluster.at(20, [&] { cluster.store("e/upgrade/version", R"({"version":"two"})"); });
   cluster.at(25, [&] { cluster.crash(2, 1); });
-  cluster.ask(30, 0, Action::advance);
+  cluster.request_step_at(30, 0, Action::advance);
   cluster.run_until(60);
   EXPECT_EQ(cluster.acting(0), 1u);
   EXPECT_EQ(cluster.acting(2), 0u);
@@ -122,9 +124,9 @@
 
 TEST_P(RollingUpgrade, HistoryRecordsEveryRequest) {
   UpgradeCluster cluster(seeded_options());
-  cluster.ask(10, 0, Action::advance);
-  cluster.ask(15, 1, Action::finalize);
-  cluster.ask(20, 2, Action::abort);
+  cluster.request_step_at(10, 0, Action::advance);
+  cluster.request_step_at(15, 1, Action::finalize);
+  cluster.request_step_at(20, 2, Action::abort);
   OperatorReply history;
   cluster.at(25, [&] {
     cluster.raw(1, "GET", "/upgrade/history", "", [&](int code, std::string body) {
@@ -150,7 +152,7 @@
 TEST_P(RollingUpgrade, AutomaticStepsAreTakenOnlyWithinAWindow) {
   Options options = seeded_options();
   options.upgrades->automatic = true;
-  // The simulated day begins on Thursday, 1970-01-01, at 00:16:40 UTC.
+  // The simulated clock starts on Thursday, 1970-01-01, at 00:16:40 UTC.
   upgrade::MaintenanceWindow window;
   window.days[4] = true;
   window.from = *upgrade::parse_time_of_day("00:18");
@@ -161,7 +163,7 @@
   cluster.run_until(79);
   EXPECT_EQ(cluster.cluster_version(), 1u);
   cluster.run_until(190);
-  EXPECT_EQ(cluster.cluster_version(), 3u) << "never to the final version";
+  EXPECT_EQ(cluster.cluster_version(), 3u) << "the final step is never automatic";
   expect_arrays_ended_and_rules_kept(cluster, {5, 60});
 }
 
--- a/tests/upgrade/settings_test.cc
+++ b/tests/upgrade/settings_test.cc
@@ -60,7 +60,7 @@
 }
 
 TEST_F(UpgradeFile, EachProblemIsNamedByFileAndField) {
-  const std::vector<std::pair<std::string, std::string>> bad = {
+  const std::vector<std::pair<std::string, std::string>> invalid_files = {
       {"", "upgrade: is missing"},
       {"upgrade = 1\n", "upgrade: must be a table"},
       {"[upgrade\n", "line 1"},
@@ -84,10 +84,10 @@
       {"[upgrade.automatic]\nenabled = true\ntime_zone = \"Etc/UTC\"\n"
        "[[upgrade.automatic.windows]]\ndays = [\"sat\"]\nfrom = \"22:00\"\n",
        "upgrade.automatic.windows[0].to"}};
-  for (const auto& [text, what] : bad) {
+  for (const auto& [text, expected_problem] : invalid_files) {
     const auto problems = load(text);
     ASSERT_FALSE(problems.empty()) << text;
-    EXPECT_NE(problems[0].find(file_ + ": " + what), std::string::npos) << problems[0];
+    EXPECT_NE(problems[0].find(file_ + ": " + expected_problem), std::string::npos) << problems[0];
   }
 }
 
--- a/tests/upgrade/upgrade_cluster.h
+++ b/tests/upgrade/upgrade_cluster.h
@@ -48,8 +48,8 @@
   explicit UpgradeCluster(const Options& options) : SimulatedCluster(options) {}
 
   // Requests a step from a controller, starting at the version stored at that moment.
-  void ask_now(int node, Action action, std::set<std::string> without = {},
-               std::string request = "") {
+  void request_step(int node, Action action, std::set<std::string> without = {},
+                    std::string request = "") {
     if (request.empty()) request = "request-" + std::to_string(++requests_);
     const upgrade::StepOrder order{
         {action, std::move(without)},
@@ -60,18 +60,18 @@
     raw(node, "POST", "/upgrade/step", codec::encode(order),
         [this, request](int status, std::string body) {
           replies_.push_back({status, std::move(body)});
-          by_request_[request] = replies_.back();
+          replies_by_request_[request] = replies_.back();
         });
   }
-  void ask(double time_s, int node, Action action, std::set<std::string> without = {}) {
-    at(time_s, [this, node, action, without] { ask_now(node, action, without); });
+  void request_step_at(double time_s, int node, Action action, std::set<std::string> without = {}) {
+    at(time_s, [this, node, action, without] { request_step(node, action, without); });
   }
   // Requests the steps up to `version`, the first at `time_s` and the others kStepIntervalS apart.
   void advance_to(double time_s, ClusterVersion version, int node = 0) {
-    for (std::uint32_t v = 1; v < upgrade::number(version); ++v, time_s += kSettle)
-      ask(time_s, node,
-          v + 1 == upgrade::number(ClusterVersion::compact_only) ? Action::finalize
-                                                                 : Action::advance);
+    for (std::uint32_t v = 1; v < upgrade::number(version); ++v, time_s += kStepIntervalS)
+      request_step_at(time_s, node,
+                      v + 1 == upgrade::number(ClusterVersion::compact_only) ? Action::finalize
+                                                                             : Action::advance);
   }
   static constexpr double kStepIntervalS = 6;  // by then every running controller acknowledges
 
@@ -93,25 +93,27 @@
   // Replies to the operators, in order of arrival.
   const std::vector<OperatorReply>& replies() const { return replies_; }
   OperatorReply reply_to(const std::string& request) const {
-    const auto found = by_request_.find(request);
-    return found == by_request_.end() ? OperatorReply{} : found->second;
+    const auto found = replies_by_request_.find(request);
+    return found == replies_by_request_.end() ? OperatorReply{} : found->second;
   }
   std::size_t replies_with(int status) const {
     std::size_t n = 0;
     for (const OperatorReply& reply : replies_) n += reply.status == status;
     return n;
   }
-  std::size_t progress_with(const std::string& text) const {
+  std::size_t progress_values_containing(const std::string& text) const {
     std::size_t n = 0;
     for (const auto& key : keys("d/")) n += stored(key)->find(text) != std::string::npos;
     return n;
   }
-  std::size_t progress_in_bits() const { return keys_under("d/") - progress_with("\"form\":2"); }
+  std::size_t progress_values_in_bits() const {
+    return keys_under("d/") - progress_values_containing("\"form\":2");
+  }
 
  private:
   int requests_ = 0;
   std::vector<OperatorReply> replies_;
-  std::map<std::string, OperatorReply> by_request_;
+  std::map<std::string, OperatorReply> replies_by_request_;
 };
 
 // Array jobs submitted at a fixed interval, by each team in turn; every sixth is cancelled while it
