--- a/tests/prerequisites_upgrade_test.cc
+++ b/tests/prerequisites_upgrade_test.cc
@@ -41,8 +41,7 @@
   SimulatedCluster cluster(old_build(GetParam()));
   std::map<int, int> mixed;
   submit_ordinary(cluster);
-  cluster.at(14,
-             [&] { cluster.crash(1, 3); });  // before its upgrade: it restarts with the old build
+  cluster.at(14, [&] { cluster.crash(1, 3); });  // not upgraded yet: restarts with the old build
   cluster.at(20, [&] { cluster.upgrade(0); });
   cluster.at(28, [&] {
     cluster.raw(0, "POST", "/v1/jobs",
--- a/tests/stored_state_resumed_test.cc
+++ b/tests/stored_state_resumed_test.cc
@@ -13,7 +13,7 @@
 
 const char kStoredValuesFile[] = EIDERREEL_SOURCE_DIR "/tests/fixtures/state_store.json";
 
-// Whether a job is among the last prerequisites to finish; its tasks run for kPrerequisiteS.
+// Whether a job is among the last prerequisites to finish, whose tasks run for kPrerequisiteS.
 bool is_last_prerequisite(const std::string& id) {
   return id == "run-101" || id == long_ids().back();
 }
--- a/tests/upgrade/maintenance_window_test.cc
+++ b/tests/upgrade/maintenance_window_test.cc
@@ -60,8 +60,7 @@
   EXPECT_FALSE(spanning_change.contains(utc(2026, 3, 29, 0, 29)));
   EXPECT_TRUE(spanning_change.contains(utc(2026, 3, 29, 0, 30)));
   EXPECT_TRUE(spanning_change.contains(utc(2026, 3, 29, 1, 29)));
-  EXPECT_FALSE(
-      spanning_change.contains(utc(2026, 3, 29, 1, 30)));  // one hour shorter than in local time
+  EXPECT_FALSE(spanning_change.contains(utc(2026, 3, 29, 1, 30)));  // lasts 1 h
 
   const auto from_missing_hour = window("Europe/Berlin", "sun", "02:30", "03:30");
   EXPECT_FALSE(from_missing_hour.contains(utc(2026, 3, 29, 0, 59)));
@@ -78,8 +77,7 @@
   const auto spanning_change = window("Europe/Berlin", "sun", "01:30", "03:30");
   EXPECT_FALSE(spanning_change.contains(utc(2026, 10, 24, 23, 29)));
   EXPECT_TRUE(spanning_change.contains(utc(2026, 10, 24, 23, 30)));
-  EXPECT_TRUE(
-      spanning_change.contains(utc(2026, 10, 25, 2, 29)));  // one hour longer than in local time
+  EXPECT_TRUE(spanning_change.contains(utc(2026, 10, 25, 2, 29)));  // lasts 3 h
   EXPECT_FALSE(spanning_change.contains(utc(2026, 10, 25, 2, 30)));
 
   const auto within_changed_hour = window("Europe/Berlin", "sun", "02:10", "02:50");
--- a/tests/upgrade/rolling_upgrade_restarts_test.cc
+++ b/tests/upgrade/rolling_upgrade_restarts_test.cc
@@ -21,8 +21,7 @@
     EXPECT_TRUE(cluster.replies().back().has("\"controller\":\"n2\""));
   });
   cluster.request_step_at(22, 0, Action::advance, {"n2"});
-  cluster.request_step_at(28, 0, Action::advance,
-                          {"n1"});  // n1 is running, so it cannot be excluded
+  cluster.request_step_at(28, 0, Action::advance, {"n1"});  // refused: n1 is running
   cluster.run_until(30);
   EXPECT_EQ(cluster.cluster_version(), 2u);
   EXPECT_TRUE(cluster.replies().back().has("is running"));
