--- a/tests/decode_error_test.cc
+++ b/tests/decode_error_test.cc
@@ -1,4 +1,4 @@
-// What decoders say of input that they refuse: the fault and the field.
+// Errors of the decoders: the fault and the field.
 #include "codec/decode_error.h"
 
 #include <gtest/gtest.h>
@@ -50,7 +50,7 @@
   EXPECT_EQ(codec::parse_store_revision(R"({"ledger":431})").value_or(0), 431U);
 }
 
-TEST(DecodeErrors, TellFramesAndBitmapsApart) {
+TEST(DecodeErrors, DistinguishFramesAndBitmaps) {
   expect_error(peer_rpc::decode(""), DecodeFault::not_whole_words, "");
   expect_error(peer_rpc::decode("1234567"), DecodeFault::not_whole_words, "");
   expect_error(peer_rpc::decode(std::string(8, '\xff')), DecodeFault::malformed_message, "");
@@ -58,7 +58,7 @@
   expect_error(codec::unpack_roaring("AAAA", 0), DecodeFault::not_a_bitmap, "");
 }
 
-// The texts of these are told to users.
+// These texts are returned to users.
 TEST(DecodeErrors, KeepTheTextsForUsers) {
   EXPECT_EQ(codec::parse_job("[]").error, "not an object");
   EXPECT_EQ(codec::parse_job("{}").error, "field name_id is missing or invalid");
--- a/tests/measure/write_fixtures.cc
+++ b/tests/measure/write_fixtures.cc
@@ -1,7 +1,7 @@
-// Wrote tests/fixtures/state_store.json and peer_messages.txt: what controllers of the sources
-// before the renaming of issue 33 keep in the state store and say to each other. Kept as a record
-// of how they were made; whoever runs it again replaces what tests/stored_state_test.cc holds later
-// sources to. Not a test, and not part of CI:
+// Generated tests/fixtures/state_store.json and peer_messages.txt: the stored values and peer
+// messages of controllers built from the source before the renaming of issue 33. Kept to document
+// how the fixtures were made. Running it again replaces the reference data of
+// tests/stored_state_test.cc and the related tests. Not a test, and not part of CI:
 //
 //   cmake --build target --target eiderreel_write_fixtures
 //   target/tests/eiderreel_write_fixtures DIRECTORY
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr double kDayS = 125;  // s; what ends in a day ends long before
+constexpr double kRunS = 125;  // long after the last completion in a run
 
 void submit_all(UpgradeCluster& cluster, const std::vector<StoredJob>& jobs) {
   for (const StoredJob& job : jobs)
@@ -36,17 +36,17 @@
   return values;
 }
 
-// Controllers that take no part in cluster versions.
-StoredValues first_day() {
-  UpgradeCluster cluster(stored_day_options());
-  submit_all(cluster, jobs_of_first_day());
+// First run: controllers with cluster versions disabled.
+StoredValues first_run() {
+  UpgradeCluster cluster(stored_run_options());
+  submit_all(cluster, jobs_of_first_run());
   submit_all(cluster, {{done_job(), 12, {0, 1}}, {cancelled_job(), 12}});
   cluster.at(20, [&cluster] { cluster.cancel(cancelled_job().id); });
-  cluster.run_until(kDayS);
+  cluster.run_until(kRunS);
   return values_of(cluster);
 }
 
-// A machine fails, and is released; the cloud does not take it back before the day is over.
+// A machine fails and is released; a cloud outage keeps it from being returned before the run ends.
 void release_a_machine(UpgradeCluster& cluster) {
   cluster.kill_machine(kReleasedMachine);
   while (cluster.count_trace_lines("machine released") == 0)
@@ -54,33 +54,33 @@
   cluster.set_cloud_outage(true);
 }
 
-// Steps of every kind, and a machine that is released.
-StoredValues second_day() {
-  Options options = stored_day_options();
+// Second run: steps of every kind, and a released machine.
+StoredValues second_run() {
+  Options options = stored_run_options();
   options.upgrades = enabled_upgrades();
   UpgradeCluster cluster(options);
-  cluster.ask(12, 0, Action::advance);
-  cluster.ask(18, 1, Action::abort);
-  cluster.ask(24, 2, Action::advance);
-  cluster.ask(30, 0, Action::finalize, {"n1", "n2"});
-  submit_all(cluster, jobs_of_second_day());
+  cluster.request_step_at(12, 0, Action::advance);
+  cluster.request_step_at(18, 1, Action::abort);
+  cluster.request_step_at(24, 2, Action::advance);
+  cluster.request_step_at(30, 0, Action::finalize, {"n1", "n2"});
+  submit_all(cluster, jobs_of_second_run());
   cluster.run_until(8);
   release_a_machine(cluster);
-  cluster.run_until(kDayS);
+  cluster.run_until(kRunS);
   return values_of(cluster);
 }
 
-// Values of a kind that no short day leaves behind.
+// Adds values of kinds that a short run doesn't leave behind.
 void add_rare_values(StoredValues& values) {
   const std::string nonce = "n0.b1.999";
-  values[codec::job_key(every_field_set().id)] = codec::encode(every_field_set(), nonce);
+  values[codec::job_key(job_with_every_field().id)] = codec::encode(job_with_every_field(), nonce);
   values[codec::machine_key(kSpotMachine)] = codec::encode(spot_machine(), nonce);
-  values[codec::progress_key(1, done_job().id, kLeftOverRange)] =
-      codec::encode_progress(left_over_tasks(), kLeftOverRange, upgrade::ProgressForm::bits, nonce);
+  values[codec::progress_key(1, done_job().id, kLeftoverRange)] =
+      codec::encode_progress(leftover_tasks(), kLeftoverRange, upgrade::ProgressForm::bits, nonce);
 }
 
-// The jobs of both days, and the rest as the second day left it; one controller has still the
-// record of the first.
+// The jobs of both runs and the other values of the second run; one controller keeps its node
+// record of the first run.
 StoredValues merged(const StoredValues& first, StoredValues values) {
   for (const auto& [key, value] : first)
     if (key.starts_with("e/job/") || key.starts_with("e/awaits/") || key.starts_with("e/final/") ||
@@ -89,7 +89,7 @@
   return values;
 }
 
-// A row a line, the values byte for byte as they are stored.
+// Writes one row per line, with each value byte for byte as stored.
 void write_values(const std::string& file, const StoredValues& values) {
   std::ofstream out(file);
   const char* separator = "[\n";
@@ -121,7 +121,7 @@
     return 2;
   }
   const std::string directory = argv[1];
-  StoredValues values = merged(first_day(), second_day());
+  StoredValues values = merged(first_run(), second_run());
   add_rare_values(values);
   write_values(directory + "/state_store.json", values);
   write_messages(directory + "/peer_messages.txt");
--- a/tests/processes/process_cluster.h
+++ b/tests/processes/process_cluster.h
@@ -1,5 +1,5 @@
-// Three controllers as real processes on loopback. state store, cloud, workers and users are
-// those of the simulated cluster, served over real sockets, in real time.
+// Three controllers as real processes on loopback. The state store, the cloud, the workers and the
+// users are those of the simulated cluster, served over real sockets in real time.
 #pragma once
 #include <map>
 #include <memory>
@@ -14,10 +14,10 @@
 
 namespace eiderreel::standin {
 
-// A build of the controller.
+// A build of the controller program.
 struct ControllerBuild {
   std::string program;
-  bool takes_upgrade_file = true;  // the builds before cluster versions know of none
+  bool takes_upgrade_file = true;  // builds before cluster versions have no `--upgrade`
 };
 
 class ProcessCluster {
@@ -28,19 +28,22 @@
   UpgradeCluster& simulated_cluster() { return *simulated_cluster_; }
   void start(int node, const ControllerBuild& build);
   void kill(int node) { controllers_[static_cast<std::size_t>(node)].reset(); }
-  void stop(int node, bool on) { controllers_[static_cast<std::size_t>(node)]->stop(on); }
-  // The exit code of a controller that has ended by itself.
-  std::optional<int> ended(int node);
-  // Runs for so long, or until the condition holds; whether it does.
+  void set_suspended(int node, bool suspended) {
+    controllers_[static_cast<std::size_t>(node)]->set_suspended(suspended);
+  }
+  // The exit code of a controller that has exited on its own; nullopt while it runs.
+  std::optional<int> exit_code_of(int node);
+  // Runs the cluster until the condition holds, at most for `seconds_from_now`. Returns whether it
+  // holds.
   bool run_until(double seconds_from_now, const std::function<bool()>& condition);
   void run_for(double seconds) {
     run_until(seconds, [] { return false; });
   }
   double now() const;
-  // `eiderreel upgrade ...` with the addresses of all controllers; its exit code.
-  int command(const ControllerBuild& build, std::vector<std::string> words);
+  // Runs `eiderreel upgrade ...` with the addresses of all controllers and returns its exit code.
+  int run_command(const ControllerBuild& build, std::vector<std::string> words);
   const std::string& directory() const { return directory_; }
-  std::string last_output() const;  // of a command
+  std::string last_output() const;  // of the last command
 
  private:
   struct ControllerAddress {
--- a/tests/state_store_modules_test.cc
+++ b/tests/state_store_modules_test.cc
@@ -1,5 +1,5 @@
-// The parts of the state store client that stand alone: errors, paths, the queue of requests, the
-// chunks of prerequisites and the history of finished jobs.
+// The independent modules of the state store client: errors, paths, the request queue, prerequisite
+// chunks and the history of finished jobs.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -23,7 +23,7 @@
 namespace eiderreel {
 namespace {
 
-// Time stands still; timers and requests are kept until the test takes them.
+// A runtime with a manual clock; it keeps timers and requests for the test to run and answer.
 class FakeRuntime : public Runtime {
  public:
   struct Sent {
@@ -70,11 +70,11 @@
   std::vector<int> statuses_;
 };
 
-TEST_F(RequestQueueTest, SendsByPriorityAndNeverHoldsBackUrgentRequests) {
+TEST_F(RequestQueueTest, SendsByPriorityAndNeverDelaysUrgentRequests) {
   submit("/progress", RequestPriority::progress);
   submit("/fleet", RequestPriority::fleet);
   submit("/urgent", RequestPriority::urgent);
-  ASSERT_EQ(runtime_.sent.size(), 3u) << "a full budget: all go at once";
+  ASSERT_EQ(runtime_.sent.size(), 3u) << "with a full budget all requests are sent at once";
   while (queue_.size() == 0) submit("/more", RequestPriority::progress);
   const std::size_t before = runtime_.sent.size();
   submit("/fleet", RequestPriority::fleet);
@@ -89,19 +89,19 @@
   EXPECT_EQ(runtime_.sent[before + 2].request.path, "/more");
 }
 
-TEST_F(RequestQueueTest, RefusesARequestThatHasWaitedForItsTimeout) {
+TEST_F(RequestQueueTest, RejectsARequestQueuedForLongerThanItsTimeout) {
   while (queue_.size() == 0) submit("/more", RequestPriority::fleet);
   runtime_.time = constants::kStateStoreTimeoutMs;
   queue_.send_allowed();
   EXPECT_EQ(queue_.size(), 0u);
   EXPECT_EQ(queue_.counters().refused_locally, 1u);
   ASSERT_EQ(runtime_.timers.size(), 1u);
-  EXPECT_TRUE(statuses_.empty()) << "its caller hears after its own call has returned";
+  EXPECT_TRUE(statuses_.empty()) << "`done` must not run before submit() has returned";
   runtime_.timers[0].call();
   EXPECT_EQ(statuses_, std::vector<int>{http_status::kTooManyRequests});
 }
 
-TEST_F(RequestQueueTest, SendsAUsersRequestAgainThatWasOverTheLimit) {
+TEST_F(RequestQueueTest, RetriesAThrottledUserRequest) {
   submit("/user", RequestPriority::user);
   runtime_.sent.at(0).done({http_status::kTooManyRequests, ""});
   ASSERT_EQ(runtime_.timers.size(), 1u);
@@ -116,7 +116,7 @@
   EXPECT_EQ(queue_.last_executed_at(), 100);
 }
 
-TEST(StoreError, SaysWhatWentWrong) {
+TEST(StoreError, DescribesTheFailure) {
   EXPECT_EQ(error_of_reply(0, "read", "a").kind, StoreErrorKind::no_answer);
   EXPECT_EQ(error_of_reply(200, "read", "a").kind, StoreErrorKind::malformed_reply);
   EXPECT_EQ(error_of_reply(400, "read", "a").kind, StoreErrorKind::rejected);
@@ -128,7 +128,7 @@
   EXPECT_EQ(to_string(error_of_reply(0, "compare", "")), "compare: no answer");
 }
 
-TEST(StoreError, OnlySomeStatusesLeaveARequestInDoubt) {
+TEST(StoreError, OnlySomeStatusesLeaveTheOutcomeUnknown) {
   for (const int status : {0, 500, 502, 504}) EXPECT_TRUE(may_have_been_executed(status)) << status;
   for (const int status : {200, 400, 404, 409, 429, 503})
     EXPECT_FALSE(may_have_been_executed(status)) << status;
@@ -144,7 +144,7 @@
   EXPECT_EQ(store_http::lease_renewal_path(7), "/grants/7/extend");
 }
 
-TEST(CasOutcome, HasNames) {
+TEST(CasOutcome, ConvertsToString) {
   EXPECT_EQ(to_string(CasOutcome::ok), "ok");
   EXPECT_EQ(to_string(CasOutcome::conflict), "conflict");
   EXPECT_EQ(to_string(CasOutcome::superseded), "superseded");
@@ -152,7 +152,7 @@
   EXPECT_EQ(to_string(CasOutcome::unknown), "unknown");
 }
 
-TEST(PrerequisiteChunks, AreTakenOnceAllAreHereAndStayKnown) {
+TEST(PrerequisiteChunks, AreReturnedOnceCompleteAndKeepTheirKeys) {
   PrerequisiteChunks chunks;
   chunks.add_key({"job", "nonce", 1}, 10);
   chunks.set_jobs({"job", "nonce", 1}, {"c"});
@@ -171,7 +171,7 @@
   EXPECT_TRUE(chunks.keys().empty());
 }
 
-TEST(FinishedJobs, TellsOnlyWhatIsComplete) {
+TEST(FinishedJobs, ReturnsOnlyACompleteHistory) {
   FinishedJobs finished;
   finished.clear(100);
   finished.add({"a", JobPhase::done, 101});
@@ -182,7 +182,7 @@
   EXPECT_EQ(finished.since(101)->front().id, "b");
   for (std::size_t i = 0; i < constants::kMaxRecentFinishedJobs; ++i)
     finished.add({"c", JobPhase::done, 200 + i});
-  EXPECT_FALSE(finished.since(102)) << "the oldest ones were dropped";
+  EXPECT_FALSE(finished.since(102)) << "the oldest entries must be dropped";
   EXPECT_EQ(finished.since(103)->size(), constants::kMaxRecentFinishedJobs);
 }
 
