--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -127,7 +127,8 @@
                  [&cluster] { cluster.poll_once(0, "run-1", [](int, const std::string&) {}); });
     cluster.at(20.008 + 0.0005 * offset, [&cluster] { cluster.freeze(0, 2.5); });
     cluster.at(20.1, [&cluster] { cluster.cancel_at(2, "run-1"); });
-    cluster.at(22, [&] { confirmed_while_paused += cluster.cancel_confirmation("run-1").node >= 0; });
+    cluster.at(22,
+               [&] { confirmed_while_paused += cluster.cancel_confirmation("run-1").node >= 0; });
     cluster.run_until(40);
     EXPECT_EQ(cluster.phase("run-1"), "cancelled");
     expect_rules_kept(cluster, std::to_string(offset));
--- a/tests/chain_completion_test.cc
+++ b/tests/chain_completion_test.cc
@@ -50,7 +50,8 @@
       cluster.at(fault_at_s + 12, [&cluster] { cluster.set_store_outage(false); });
     for (double time_s = 9; time_s < 40; time_s += 0.05)
       cluster.at(time_s, [&] {
-        if (ready_at_s < 0 && cluster.checker().prerequisites_done("run-2")) ready_at_s = cluster.now();
+        if (ready_at_s < 0 && cluster.checker().prerequisites_done("run-2"))
+          ready_at_s = cluster.now();
       });
     cluster.run_until(100);
     coinciding += ready_at_s > 0 && std::abs(ready_at_s - fault_at_s) < 1.5;
--- a/tests/chain_scale_test.cc
+++ b/tests/chain_scale_test.cc
@@ -100,7 +100,8 @@
         2, "POST", "/v1/jobs",
         submission_text(with_prerequisites(cluster.job("run-3", "gold", 1), prerequisites)),
         [&](int status, std::string) { unknown_prerequisite_status = status; });
-    cluster.submit_after_prerequisites(with_prerequisites(cluster.job("run-2", "gold", 1), dependents));
+    cluster.submit_after_prerequisites(
+        with_prerequisites(cluster.job("run-2", "gold", 1), dependents));
   });
   cluster.at(29.5, [&] {
     EXPECT_EQ(cluster.phase("run-2"), "queued");
--- a/tests/chains_test.cc
+++ b/tests/chains_test.cc
@@ -44,7 +44,11 @@
   std::map<std::string, int> statuses;
   auto submit = [&](const std::string& prerequisites_json, const std::string& job = "run-50") {
     std::string text = submission_text(cluster.job(job, "red", 1));
-text.insert(text.size() - 1, ",\"awaits\":" + prerequisites_json); cluster.send_request(1, "POST", "/v1/jobs", text, [&, prerequisites_json](int status, std::string) { statuses[prerequisites_json] = status; });
+    text.insert(text.size() - 1, ",\"awaits\":" + prerequisites_json);
+    cluster.send_request(1, "POST", "/v1/jobs", text,
+                         [&, prerequisites_json](int status, std::string) {
+                           statuses[prerequisites_json] = status;
+                         });
   };
   cluster.at(5, [&] { cluster.submit(cluster.job("run-1", "blue", 1, 1, 100)); });
   cluster.at(8, [&] {
@@ -78,7 +82,13 @@
   double answered_at_s = 0;
   cluster.at(20, [&] { cluster.set_store_outage(true); });
   cluster.at(22, [&] {
-cluster.send_request( 0, "POST", "/v1/jobs", submission_text(with_prerequisites(cluster.job("run-2", "red", 1), {"run-1"})), [&](int code, std::string) { status = code; answered_at_s = cluster.now(); });
+    cluster.send_request(
+        0, "POST", "/v1/jobs",
+        submission_text(with_prerequisites(cluster.job("run-2", "red", 1), {"run-1"})),
+        [&](int code, std::string) {
+          status = code;
+          answered_at_s = cluster.now();
+        });
   });
   cluster.run_until(30);
   EXPECT_EQ(status, 503);
--- a/tests/concurrent_faults_test.cc
+++ b/tests/concurrent_faults_test.cc
@@ -185,8 +185,7 @@
        [](SimulatedCluster& cluster, Load& load) {
          submit_usual_load(cluster, load);
          // No worker can reach n0, which will lead n1's partition.
-         cluster.at(9.6,
-                    [&cluster] {
+         cluster.at(9.6, [&cluster] {
            cluster.partition_network(worker_addresses(0, 1), {"n0"}, NetworkPartitionMode::hold);
          });
          cluster.at(10, [&cluster] { cluster.crash(1, 25); });
--- a/tests/leader_rejected_test.cc
+++ b/tests/leader_rejected_test.cc
@@ -22,8 +22,8 @@
 
 struct RejectionTiming {
   std::uint64_t seed;
-  DelayModel commit_delays;   // of the commits just before the rejection
-  double outage_after_s;  // after the rejection begins
+  DelayModel commit_delays;  // of the commits just before the rejection
+  double outage_after_s;     // after the rejection begins
 };
 
 class LeaderRejectedThenOutage : public testing::TestWithParam<RejectionTiming> {
@@ -38,7 +38,8 @@
   // Schedules the faults: commits get no reply for 0.3 s, then the state store rejects the leader,
   // then it is down for all controllers.
   void schedule_faults(SimulatedCluster& cluster) const {
-    cluster.at(kRejectedAtS - 0.3, [&cluster] { cluster.set_commit_delays(GetParam().commit_delays); });
+    cluster.at(kRejectedAtS - 0.3,
+               [&cluster] { cluster.set_commit_delays(GetParam().commit_delays); });
     cluster.at(kRejectedAtS, [&cluster] {
       cluster.set_commit_delays({});
       cluster.set_store_unavailable_to(kLeader, true);
@@ -123,8 +124,7 @@
                          [](const auto& info) {
                            const RejectionTiming& timing = info.param;
                            return "Seed" + std::to_string(timing.seed) +
-                                  (timing.commit_delays.min_s < 0.1 ? "LostReply"
-                                                                      : "LateCommit") +
+                                  (timing.commit_delays.min_s < 0.1 ? "LostReply" : "LateCommit") +
                                   "OutageAfterMs" +
                                   std::to_string(std::lround(timing.outage_after_s * 1000));
                          });
--- a/tests/races_test.cc
+++ b/tests/races_test.cc
@@ -116,12 +116,12 @@
   });
   for (double time_s = 11.01; time_s < 60; time_s += 0.05)
     cluster.at(time_s, [&] {
-      if (transferred_at_s > 0 || cluster.count_trace_lines("machine transfer") == transfers_before) return;
+      if (transferred_at_s > 0 || cluster.count_trace_lines("machine transfer") == transfers_before)
+        return;
       transferred_at_s = cluster.now();
       cluster.set_commit_delays({});
       for (int n = 0; n < 3; ++n) cluster.set_store_unavailable_to(n, true);
-      cluster.set_cloud_outage(
-          true);  // machines cannot be returned, so their tasks keep running
+      cluster.set_cloud_outage(true);  // machines cannot be returned, so their tasks keep running
       cluster.at(transferred_at_s + 20, [&cluster] { cluster.set_cloud_outage(false); });
       cluster.at(transferred_at_s + 3.6, [&cluster] {
         for (int n = 0; n < 3; ++n) cluster.set_store_unavailable_to(n, false);
--- a/tests/random_days_test.cc
+++ b/tests/random_days_test.cc
@@ -157,7 +157,8 @@
         for (const auto& name : machines) (cluster_.*fault)(name, on);
       };
     };
-    const std::array machine_faults = {&SimulatedCluster::freeze_machine, &SimulatedCluster::block_inbound,
+    const std::array machine_faults = {&SimulatedCluster::freeze_machine,
+                                       &SimulatedCluster::block_inbound,
                                        &SimulatedCluster::block_outbound_requests};
     const auto machine_fault = machine_faults[static_cast<std::size_t>(random_index(3))];
     schedule_fault(time_s, duration_s, toggle(machine_fault, true), toggle(machine_fault, false));
@@ -191,7 +192,10 @@
   }
 
   void add_network_fault(double time_s) {
-const std::string node = "n" + std::to_string(random_index(3)); const NetworkPartitionMode mode = with_probability(0.5) ? NetworkPartitionMode::hold : NetworkPartitionMode::reset; const double duration_s = random_between(3, lease_s_ + 5);
+    const std::string node = "n" + std::to_string(random_index(3));
+    const NetworkPartitionMode mode =
+        with_probability(0.5) ? NetworkPartitionMode::hold : NetworkPartitionMode::reset;
+    const double duration_s = random_between(3, lease_s_ + 5);
     std::set<std::string> workers;
     for (const auto& name : random_machines()) workers.insert(worker_address(name));
     auto cut = [=, this](std::set<std::string> one_side, std::set<std::string> other_side) {
--- a/tests/rule_checker_test.cc
+++ b/tests/rule_checker_test.cc
@@ -19,7 +19,8 @@
   return spec;
 }
 
-const RuleChecker::Placement kMachine1{"m-1", "box", "a", false}, kMachine2{"m-2", "box", "b", false};
+const RuleChecker::Placement kMachine1{"m-1", "box", "a", false},
+    kMachine2{"m-2", "box", "b", false};
 
 struct RuleCheckerTest : testing::Test {
   RuleChecker checker{{{"red", 4, 8, 0, 0}}, 40};
--- a/tests/upgrade/upgrade_cluster.h
+++ b/tests/upgrade/upgrade_cluster.h
@@ -57,7 +57,11 @@
         request,
         "ops1",
         "a test"};
-send_request(node, "POST", "/upgrade/step", codec::encode(order), [this, request](int status, std::string body) { replies_.push_back({status, std::move(body)}); replies_by_request_[request] = replies_.back(); });
+    send_request(node, "POST", "/upgrade/step", codec::encode(order),
+                 [this, request](int status, std::string body) {
+                   replies_.push_back({status, std::move(body)});
+                   replies_by_request_[request] = replies_.back();
+                 });
   }
   void request_step_at(double time_s, int node, Action action, std::set<std::string> without = {}) {
     at(time_s, [this, node, action, without] { request_step(node, action, without); });
