--- a/src/cli/serve.cc
+++ b/src/cli/serve.cc
@@ -45,12 +45,12 @@
   };
   const auto on_frame = [&](const std::string& bytes) { controller.receive_peer_message(bytes); };
   if (const auto listening = loop.listen(on_request, on_frame); !listening) {
-    spdlog::error("start failed node={} reason=\"{}\"", settings->node,
+    spdlog::error("controller start failed, cannot listen node={} reason=\"{}\"", settings->node,
                   net::to_string(listening.error()));
     return exit_code::kFailure;
   }
-  spdlog::info("start node={} api={} peer={} boot={}", settings->node, settings->api_addr,
-               settings->peer_addr, loop.boot_id());
+  spdlog::info("controller start node={} api={} peer={} boot={}", settings->node,
+               settings->api_addr, settings->peer_addr, loop.boot_id());
   controller.start();
   loop.call_every(constants::kTickMs, [&] { controller.tick(); });
   loop.run();
--- a/src/fleet/machine_terminator.cc
+++ b/src/fleet/machine_terminator.cc
@@ -42,7 +42,7 @@
        ++next) {
     const auto key = keys.find(*next);
     if (key == keys.end() || !pending_commits_.insert(*next).second) continue;
-    spdlog::info("machine forgotten machine={}", *next);
+    spdlog::info("machine record deletion machine={}", *next);
     terminated_.insert(*next);
     batch.push_back(*next);
     commit.preconditions.push_back({codec::machine_key(*next), key->second.revision});
--- a/src/leadership/job_finalizer.cc
+++ b/src/leadership/job_finalizer.cc
@@ -76,7 +76,7 @@
     else
       persistence->final_commit.reset();
   }
-  spdlog::warn("job not-final job={} phase={} fencing_token={} outcome={}", job,
+  spdlog::warn("job final commit not confirmed job={} phase={} fencing_token={} outcome={}", job,
                codec::phase_name(phase), term.fencing_token, to_string(outcome));
   reply(http_status::kServiceUnavailable,
         codec::error_body("the state service did not confirm; ask again"));
@@ -121,7 +121,8 @@
 // record.
 std::vector<std::string> JobFinalizer::next_implied_cancellations(LedPartition& led) const {
   const ClusterView& view = state_store_.view();
-  const auto max_jobs = static_cast<std::size_t>(std::max(1, settings_.max_transaction_writes() / 2));
+  const auto max_jobs =
+      static_cast<std::size_t>(std::max(1, settings_.max_transaction_writes() / 2));
   std::vector<std::string> jobs;
   for (const auto& job : view.dependencies.all_cancelled()) {
     if (jobs.size() == max_jobs) break;
--- a/src/leadership/partition_activation.cc
+++ b/src/leadership/partition_activation.cc
@@ -61,7 +61,7 @@
     upgrade::StoredProgress& stored = led.persistence[job].progress[row.key];
     stored = upgrade::stored_progress(row);
     if (stored.unreadable) {
-      spdlog::error("progress unreadable key={}", row.key);
+      spdlog::error("stored progress unreadable, its tasks may run again key={}", row.key);
       continue;
     }
     std::vector<std::uint32_t>& tasks = done[job];
--- a/src/leadership/partition_claims.cc
+++ b/src/leadership/partition_claims.cc
@@ -111,7 +111,7 @@
     return;
   }
   if (!ours || stored->second.revision != led->scheduler->fencing_token())
-    led_partitions_.step_down(partition, "key-changed");
+    led_partitions_.step_down(partition, "partition-key-changed");
 }
 
 }  // namespace eiderreel
--- a/src/state_store/standby_monitor.cc
+++ b/src/state_store/standby_monitor.cc
@@ -11,9 +11,10 @@
   if (reason == reason_) return;
   reason_ = std::move(reason);
   if (reason_.empty())
-    spdlog::info("version ok node={}", node_);
+    spdlog::info("controller left standby node={}", node_);
   else
-    spdlog::error("standby node={} reason=\"{}\"", node_, reason_);
+    spdlog::error("controller in standby, claims no partition node={} reason=\"{}\"", node_,
+                  reason_);
 }
 
 }  // namespace eiderreel
--- a/src/upgrade/coordinator.cc
+++ b/src/upgrade/coordinator.cc
@@ -115,7 +115,7 @@
   commit.done = [this, step](CasOutcome outcome, std::uint64_t) {
     on_commit_outcome(step, outcome);
   };
-  spdlog::info("version step from={} to={} who={} request={}", to_string(step->plan.from),
+  spdlog::info("version step started from={} to={} who={} request={}", to_string(step->plan.from),
                to_string(*step->plan.to), order.who, order.request);
   state_store_.compare_and_swap(std::move(commit));
 }
--- a/src/upgrade/step_history.cc
+++ b/src/upgrade/step_history.cc
@@ -49,7 +49,8 @@
   commit.writes = {make_write(record, commit.nonce)};
   commit.preconditions = {{commit.writes.front().key, 0}};
   commit.done = [this, request = record.request](CasOutcome outcome, std::uint64_t) {
-    if (outcome != CasOutcome::ok) spdlog::warn("version step not recorded request={}", request);
+    if (outcome != CasOutcome::ok)
+      spdlog::warn("version step history record not confirmed request={}", request);
     delete_old_records();
   };
   state_store_.compare_and_swap(std::move(commit));
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -45,7 +45,7 @@
   EXPECT_GE(cluster.lines("partition claimed"), 4u);
   // Each is known to be gone by a whole list alone.
   EXPECT_EQ(cluster.lines("machine released machine=" + machine(1)), 1u);
-  EXPECT_GE(cluster.lines("machine forgotten machine=" + machine(2)), 1u);
+  EXPECT_GE(cluster.lines("machine record deletion machine=" + machine(2)), 1u);
   for (int n = 0; n < 3; ++n)
     for (const auto& [partition, core] : cluster.node(n)->partition_leader().partitions())
       EXPECT_LT(core->steps(), 40u * kMachines)
--- a/tests/upgrade/rolling_upgrade_test.cc
+++ b/tests/upgrade/rolling_upgrade_test.cc
@@ -102,7 +102,7 @@
   EXPECT_EQ(cluster.keys_under("e/part/"), 0u);
   EXPECT_EQ(cluster.keys_under("e/node/"), 0u);
   EXPECT_EQ(cluster.commits(), 0u);
-  EXPECT_GT(cluster.lines("standby node="), 0u);
+  EXPECT_GT(cluster.lines("controller in standby, claims no partition node="), 0u);
 }
 
 TEST_P(RollingUpgrade, UnreadableVersionStopsOnlyRestartedControllers) {
