--- a/src/leadership/job_finalizer.cc
+++ b/src/leadership/job_finalizer.cc
@@ -76,7 +76,7 @@
     else
       persistence->final_commit.reset();
   }
-  spdlog::warn("job not-final job={} phase={} fencing_token={} outcome={}", job,
+  spdlog::warn("job final commit not confirmed job={} phase={} fencing_token={} outcome={}", job,
                codec::phase_name(phase), term.fencing_token, to_string(outcome));
   reply(http_status::kServiceUnavailable,
         codec::error_body("the state service did not confirm; ask again"));
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -46,7 +46,7 @@
   EXPECT_GE(cluster.count_trace_lines("partition claimed"), 4u);
   // Only a completely read list shows that these machines are gone.
   EXPECT_EQ(cluster.count_trace_lines("machine released machine=" + machine_id(1)), 1u);
-  EXPECT_GE(cluster.count_trace_lines("machine forgotten machine=" + machine_id(2)), 1u);
+  EXPECT_GE(cluster.count_trace_lines("machine record deletion machine=" + machine_id(2)), 1u);
   for (int n = 0; n < 3; ++n)
     for (const auto& [partition, core] : cluster.node(n)->partition_leader().partitions())
       EXPECT_LT(core->steps(), 40u * kMachines)
--- a/tests/upgrade/rolling_upgrade_test.cc
+++ b/tests/upgrade/rolling_upgrade_test.cc
@@ -105,7 +105,7 @@
   EXPECT_EQ(cluster.count_keys("e/part/"), 0u);
   EXPECT_EQ(cluster.count_keys("e/node/"), 0u);
   EXPECT_EQ(cluster.commits(), 0u);
-  EXPECT_GT(cluster.count_trace_lines("standby node="), 0u);
+  EXPECT_GT(cluster.count_trace_lines("controller in standby, claims no partition node="), 0u);
 }
 
 TEST_P(RollingUpgrade, UnreadableVersionStopsOnlyRestartedControllers) {
