--- a/src/state_store/standby_monitor.cc
+++ b/src/state_store/standby_monitor.cc
@@ -11,7 +11,7 @@
   if (reason == reason_) return;
   reason_ = std::move(reason);
   if (reason_.empty())
-    spdlog::info("controller left standby node={}", node_);
+    spdlog::info("controller left standby, cluster version supported node={}", node_);
   else
     spdlog::error("controller in standby, claims no partition node={} reason=\"{}\"", node_,
                   reason_);
--- a/src/state_store/store_watcher.cc
+++ b/src/state_store/store_watcher.cc
@@ -100,9 +100,8 @@
   const bool first_load = !view.ready;
   dependencies_.replica.mark_applied(revision_);
   if (first_load) {
-    spdlog::info("cluster state loaded node={} revision={} jobs={} machines={}",
-                 dependencies_.settings.node, view.store_revision, view.jobs.size(),
-                 view.machines.size());
+    spdlog::info("view ready node={} revision={} jobs={} machines={}", dependencies_.settings.node,
+                 view.store_revision, view.jobs.size(), view.machines.size());
   }
   dependencies_.waiters.notify();
 }
