--- a/tests/upgrade/conversion_test.cc
+++ b/tests/upgrade/conversion_test.cc
@@ -360,7 +360,8 @@
   EXPECT_EQ(cluster.replies().back().status, 409);
   EXPECT_TRUE(cluster.replies().back().has(stored[0])) << cluster.replies().back().body;
   EXPECT_EQ(*cluster.stored_value(stored[0]), value);
-  EXPECT_GT(cluster.count_trace_lines("stored progress unreadable, its tasks may run again key=" + stored[0]),
+  EXPECT_GT(cluster.count_trace_lines("stored progress unreadable, its tasks may run again key=" +
+                                      stored[0]),
             0u);
   cluster.run_until(170);
   EXPECT_EQ(cluster.phase("run-7"), "done");
